--- a/src/main/java/dunlincroft/admission/Admission.java
+++ b/src/main/java/dunlincroft/admission/Admission.java
@@ -27,7 +27,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(Admission.class);
 
   /** The name of all flows that a beat has no room for. */
-  private static final String REST = "*";
+  private static final String OTHER_CLASSES = "*";
 
   /** What becomes of a submission now: it is tried, or comes again in so many seconds. */
   public record Verdict(boolean admitted, int retryAfterS) {
@@ -35,42 +35,42 @@
   }
 
   /** What a flow has asked for here, and when its next turn is. */
-  private static final class Line {
+  private static final class ClassState {
     /** Submissions that came for the first time, a second; smoothed. */
-    double asked;
+    double requestRate;
 
-    int came;
+    int arrivals;
 
     /** Submissions let in here, a second; smoothed. */
-    double given;
+    double admittedRate;
 
-    int gave;
+    int recentlyAdmitted;
 
     /** Up to here turns are given away. */
-    double turn;
+    double reservedUntil;
 
     int admitted;
     int refused;
 
     /** Those that were told to come later, and have not come yet. */
-    int waiting;
+    int pendingRetries;
   }
 
   private final String self;
   private final ToDoubleFunction<String> weight;
-  private final Picture picture = new Picture();
-  private final Promises promises = new Promises();
-  private final Map<Flow, Line> lines = new HashMap<>();
+  private final LoadSnapshot snapshot = new LoadSnapshot();
+  private final RetryReservations reservations = new RetryReservations();
+  private final Map<TrafficClass, ClassState> states = new HashMap<>();
   private Plan plan;
-  private int unplanned;
+  private int deferredSincePlan;
 
   /** Where more of the plan's users are at our door than our part of the rate bears: less of it. */
   private double scale = 1;
 
   /** What flows would get of the present plan if they wanted everything, as far as asked for. */
-  private final Map<Flow, Double> entitled = new HashMap<>();
+  private final Map<TrafficClass, Double> saturatedRates = new HashMap<>();
 
-  private double admits;
+  private double localCapacity;
   private long tickedAt;
   private long overloadedAt = Long.MIN_VALUE / 2;
 
@@ -87,88 +87,100 @@
   // ---- the picture ----
 
   /** Another controller's load, with the promises that it made. */
-  public void heard(String node, Load load, long nowMs) {
-    picture.tells(node, load, nowMs);
+  public void loadReceived(String node, Load load, long nowMs) {
+    snapshot.update(node, load, nowMs);
     for (Promise promise : load.promises()) {
-      promises.keep(promise.job(), nowMs + promise.inMs(), promise.loose());
+      reservations.store(promise.job(), nowMs + promise.inMs(), promise.loose());
     }
   }
 
   /** What we tell the others. */
   public Load load(long nowMs) {
-    return new Load(admits, flows(), promises.tell(nowMs));
+    return new Load(localCapacity, reportedClasses(), reservations.announced(nowMs));
   }
 
   /** The flows that ask for most; those beyond a beat's room are told of together. */
-  private List<Flowing> flows() {
-    List<Flowing> flows = new ArrayList<>();
-    lines.forEach(
-        (flow, line) -> {
-          double asked = Math.max(line.asked, line.waiting / (double) Constants.RETRY_AFTER_MOST_S);
-          if (asked > Constants.ASKED_LEAST) {
-            flows.add(new Flowing(flow.team(), flow.jobclass(), flow.prod(), asked));
+  private List<Flowing> reportedClasses() {
+    List<Flowing> classes = new ArrayList<>();
+    states.forEach(
+        (trafficClass, state) -> {
+          double demanded =
+              Math.max(
+                  state.requestRate, state.pendingRetries / (double) Constants.RETRY_AFTER_MOST_S);
+          if (demanded > Constants.ASKED_LEAST) {
+            classes.add(
+                new Flowing(
+                    trafficClass.team(), trafficClass.jobclass(), trafficClass.prod(), demanded));
           }
         });
-    flows.sort(Comparator.comparingDouble(Flowing::asked).reversed());
-    if (flows.size() <= Constants.BEAT_FLOWS) {
-      return flows;
+    classes.sort(Comparator.comparingDouble(Flowing::asked).reversed());
+    if (classes.size() <= Constants.BEAT_FLOWS) {
+      return classes;
     }
-    List<Flowing> told = new ArrayList<>(flows.subList(0, Constants.BEAT_FLOWS));
+    List<Flowing> reported = new ArrayList<>(classes.subList(0, Constants.BEAT_FLOWS));
     for (boolean prod : new boolean[] {true, false}) {
-      double rest =
-          flows.stream()
+      double remainder =
+          classes.stream()
               .skip(Constants.BEAT_FLOWS)
-              .filter(flow -> flow.prod() == prod)
+              .filter(trafficClass -> trafficClass.prod() == prod)
               .mapToDouble(Flowing::asked)
               .sum();
-      told.add(new Flowing(REST, REST, prod, rest));
+      reported.add(new Flowing(OTHER_CLASSES, OTHER_CLASSES, prod, remainder));
     }
-    return told;
+    return reported;
   }
 
   /**
    * Makes the plan anew; called a few times a second.
    *
-   * @param admitsHere acceptances a second that we can bear
+   * @param acceptsPerSecond acceptances a second that we can bear
    */
-  public void tick(double admitsHere, long nowMs) {
+  public void tick(double acceptsPerSecond, long nowMs) {
     double seconds = Math.max(0.001, (nowMs - tickedAt) / 1000.0);
-    double old = Math.exp(-seconds / Constants.ASKED_S);
+    double decay = Math.exp(-seconds / Constants.ASKED_S);
     tickedAt = nowMs;
-    admits = admitsHere;
-    lines
+    localCapacity = acceptsPerSecond;
+    states
         .values()
         .removeIf(
-            line -> {
-              line.asked = line.asked * old + line.came / seconds * (1 - old);
-              line.came = 0;
-              line.given = line.given * old + line.gave / seconds * (1 - old);
-              line.gave = 0;
+            state -> {
+              state.requestRate =
+                  state.requestRate * decay + state.arrivals / seconds * (1 - decay);
+              state.arrivals = 0;
+              state.admittedRate =
+                  state.admittedRate * decay + state.recentlyAdmitted / seconds * (1 - decay);
+              state.recentlyAdmitted = 0;
               // Whoever was told to come and did not has given up, or was served elsewhere.
-              line.waiting = line.turn + Constants.PROMISE_LATE_MS < nowMs ? 0 : line.waiting;
-              return line.asked < Constants.ASKED_LEAST / 10 && line.waiting == 0;
+              state.pendingRetries =
+                  state.reservedUntil + Constants.PROMISE_LATE_MS < nowMs
+                      ? 0
+                      : state.pendingRetries;
+              return state.requestRate < Constants.ASKED_LEAST / 10 && state.pendingRetries == 0;
             });
-    picture.tick(nowMs);
-    promises.tick(nowMs);
+    snapshot.expire(nowMs);
+    reservations.expire(nowMs);
     replan(nowMs);
   }
 
   private void replan(long nowMs) {
-    unplanned = 0;
-    picture.tells(self, new Load(admits, flows(), List.of()), nowMs);
-    plan = plan(picture.demand());
-    entitled.clear();
-    double here = 0;
-    for (Flow flow : lines.keySet()) {
-      double all = picture.demand(flow);
-      here += all > 0 ? plan.rate(flow) * picture.demand(self, flow) / all : 0;
+    deferredSincePlan = 0;
+    snapshot.update(self, new Load(localCapacity, reportedClasses(), List.of()), nowMs);
+    plan = plan(snapshot.demand());
+    saturatedRates.clear();
+    double plannedRate = 0;
+    for (TrafficClass trafficClass : states.keySet()) {
+      double totalDemand = snapshot.demand(trafficClass);
+      plannedRate +=
+          totalDemand > 0
+              ? plan.rate(trafficClass) * snapshot.demand(self, trafficClass) / totalDemand
+              : 0;
     }
-    scale = here > admits ? admits / here : 1;
+    scale = plannedRate > localCapacity ? localCapacity / plannedRate : 1;
   }
 
   /** We stood still: what the others told is as old as that. */
-  public void stoodStill() {
-    picture.forget();
+  public void pauseDetected() {
+    snapshot.reset();
   }
 
   // ---- submissions ----
@@ -180,55 +192,57 @@
    *
    * @param waitMs how long its write would wait for the state service's budget
    */
-  public Verdict offer(String job, Flow flow, long waitMs, long nowMs) {
+  public Verdict offer(String job, TrafficClass trafficClass, long waitMs, long nowMs) {
     long id = Hashing.of(job);
-    Line line = lines.computeIfAbsent(flow, f -> new Line());
-    long due = promises.dueAt(id);
-    boolean known = due >= 0;
-    if (known && nowMs + Constants.PROMISE_EARLY_MS >= due && !promises.loose(id)) {
-      return letIn(line);
+    ClassState state = states.computeIfAbsent(trafficClass, f -> new ClassState());
+    long due = reservations.dueAt(id);
+    boolean hasReservation = due >= 0;
+    if (hasReservation
+        && nowMs + Constants.PROMISE_EARLY_MS >= due
+        && !reservations.isTentative(id)) {
+      return admit(state);
     }
-    if (!known) {
-      line.came++;
+    if (!hasReservation) {
+      state.arrivals++;
     }
-    boolean full = waitMs > Constants.ANSWER_MS;
-    if (full) {
+    boolean isOverBudget = waitMs > Constants.ANSWER_MS;
+    if (isOverBudget) {
       overloadedAt = nowMs;
     }
-    boolean overload = nowMs - overloadedAt < Constants.OVERLOAD_MS;
+    boolean isOverloaded = nowMs - overloadedAt < Constants.OVERLOAD_MS;
     // Half of the wait that users bear is open to whoever comes, so that nothing is wasted and a
     // short crowd is not sent away; the other half is for those who are within their part.
-    if (!overload || (waitMs <= Constants.ANSWER_MS / 2 && withinPlan(flow, line))) {
-      if (overload && !known) {
-        line.turn = Math.max(line.turn, nowMs) + 1000 / rate(flow);
+    if (!isOverloaded || (waitMs <= Constants.ANSWER_MS / 2 && isWithinPlan(trafficClass, state))) {
+      if (isOverloaded && !hasReservation) {
+        state.reservedUntil = Math.max(state.reservedUntil, nowMs) + 1000 / rate(trafficClass);
       }
-      return letIn(line);
+      return admit(state);
     }
-    if (!full && line.turn <= nowMs) {
-      line.turn = nowMs + 1000 / rate(flow);
-      return letIn(line);
+    if (!isOverBudget && state.reservedUntil <= nowMs) {
+      state.reservedUntil = nowMs + 1000 / rate(trafficClass);
+      return admit(state);
     }
-    if (known && !promises.loose(id)) {
-      return refuse(flow, line, due, nowMs);
+    if (hasReservation && !reservations.isTentative(id)) {
+      return refuse(trafficClass, state, due, nowMs);
     }
-    if (++unplanned >= Constants.PLAN_AFTER) {
+    if (++deferredSincePlan >= Constants.PLAN_AFTER) {
       replan(nowMs);
     }
-    double turn = Math.max(line.turn, nowMs) + 1000 / rate(flow);
-    double most = nowMs + 1000.0 * Constants.RETRY_AFTER_MOST_S;
-    if (turn > (known ? most : most - Constants.LINE_KEPT_MS)) {
-      promises.make(id, (long) most, true, nowMs);
-      return refuse(flow, line, (long) most, nowMs);
+    double slot = Math.max(state.reservedUntil, nowMs) + 1000 / rate(trafficClass);
+    double latest = nowMs + 1000.0 * Constants.RETRY_AFTER_MOST_S;
+    if (slot > (hasReservation ? latest : latest - Constants.LINE_KEPT_MS)) {
+      reservations.reserve(id, (long) latest, true, nowMs);
+      return refuse(trafficClass, state, (long) latest, nowMs);
     }
-    line.turn = turn;
-    line.waiting++;
-    promises.make(id, (long) turn, false, nowMs);
-    return refuse(flow, line, (long) turn, nowMs);
+    state.reservedUntil = slot;
+    state.pendingRetries++;
+    reservations.reserve(id, (long) slot, false, nowMs);
+    return refuse(trafficClass, state, (long) slot, nowMs);
   }
 
-  private static Verdict letIn(Line line) {
-    line.admitted++;
-    line.gave++;
+  private static Verdict admit(ClassState state) {
+    state.admitted++;
+    state.recentlyAdmitted++;
     return Verdict.ADMITTED;
   }
 
@@ -236,10 +250,13 @@
    * Whether a flow has not had more than the plan's part of late: who comes again most often must
    * not take what is open to all.
    */
-  private boolean withinPlan(Flow flow, Line line) {
-    double all = picture.demand(flow);
-    double mine = all > 0 ? plan.rate(flow) * picture.demand(self, flow) / all : 0;
-    return line.given <= scale * mine;
+  private boolean isWithinPlan(TrafficClass trafficClass, ClassState state) {
+    double totalDemand = snapshot.demand(trafficClass);
+    double localRate =
+        totalDemand > 0
+            ? plan.rate(trafficClass) * snapshot.demand(self, trafficClass) / totalDemand
+            : 0;
+    return state.admittedRate <= scale * localRate;
   }
 
   /**
@@ -247,82 +264,87 @@
    * wanted everything, so that who asks for less than that is soon served, and never less than an
    * even part of the floor. Our part of the state service's rate is the bound with any picture.
    */
-  private double rate(Flow flow) {
-    double all = picture.demand(flow);
-    double even = admits / Math.max(admits, picture.capacity());
-    double mine = all > 0 ? Math.max(even, picture.demand(self, flow) / all) : even;
-    long crowded = lines.values().stream().filter(line -> line.waiting > 0).count();
-    double least = admits * Constants.LINES_PART / Math.max(1, crowded);
+  private double rate(TrafficClass trafficClass) {
+    double totalDemand = snapshot.demand(trafficClass);
+    double evenShare = localCapacity / Math.max(localCapacity, snapshot.capacity());
+    double localShare =
+        totalDemand > 0
+            ? Math.max(evenShare, snapshot.demand(self, trafficClass) / totalDemand)
+            : evenShare;
+    long backloggedClasses =
+        states.values().stream().filter(state -> state.pendingRetries > 0).count();
+    double minRate = localCapacity * Constants.LINES_PART / Math.max(1, backloggedClasses);
     // While the plan leaves much of it unserved, a flow's line moves at the plan's pace: else it
     // would take what goes before all ranks from the others.
-    double pace =
-        plan.rate(flow) < Constants.SHORT_OF_DEMAND * all
-            ? plan.rate(flow)
-            : entitled.computeIfAbsent(flow, this::entitled);
-    double planned = Math.min(admits, scale * mine * pace);
-    return Math.max(Math.max(least, Constants.ASKED_LEAST), planned);
+    double classRate =
+        plan.rate(trafficClass) < Constants.SHORT_OF_DEMAND * totalDemand
+            ? plan.rate(trafficClass)
+            : saturatedRates.computeIfAbsent(trafficClass, this::saturatedRate);
+    double localPart = Math.min(localCapacity, scale * localShare * classRate);
+    return Math.max(Math.max(minRate, Constants.ASKED_LEAST), localPart);
   }
 
-  private double entitled(Flow flow) {
-    Map<Flow, Double> greedy = picture.demand();
-    greedy.put(flow, picture.capacity());
-    return plan(greedy).rate(flow);
+  private double saturatedRate(TrafficClass trafficClass) {
+    Map<TrafficClass, Double> saturatedDemand = snapshot.demand();
+    saturatedDemand.put(trafficClass, snapshot.capacity());
+    return plan(saturatedDemand).rate(trafficClass);
   }
 
-  private Plan plan(Map<Flow, Double> demand) {
-    return Plan.of(picture.capacity(), demand, weight);
+  private Plan plan(Map<TrafficClass, Double> demand) {
+    return Plan.of(snapshot.capacity(), demand, weight);
   }
 
-  private static Verdict refuse(Flow flow, Line line, long dueMs, long nowMs) {
-    line.refused++;
+  private static Verdict refuse(
+      TrafficClass trafficClass, ClassState state, long dueMs, long nowMs) {
+    state.refused++;
     int seconds = (int) Math.ceil((dueMs - nowMs) / 1000.0);
-    int most = flow.prod() ? Constants.LOOK_IN_SERVICE_S : Constants.LOOK_IN_S;
-    return new Verdict(false, Math.max(Constants.RETRY_AFTER_S, Math.min(most, seconds)));
+    int maxSeconds = trafficClass.prod() ? Constants.LOOK_IN_SERVICE_S : Constants.LOOK_IN_S;
+    return new Verdict(false, Math.max(Constants.RETRY_AFTER_S, Math.min(maxSeconds, seconds)));
   }
 
   /** The write of one that was let in found no budget after all: it comes again soon. */
-  public int again(String job, Flow flow, long nowMs) {
+  public int retryLater(String job, TrafficClass trafficClass, long nowMs) {
     overloadedAt = nowMs;
-    Line line = lines.computeIfAbsent(flow, f -> new Line());
-    line.admitted--;
+    ClassState state = states.computeIfAbsent(trafficClass, f -> new ClassState());
+    state.admitted--;
     long id = Hashing.of(job);
-    if (promises.dueAt(id) < 0) {
-      promises.make(id, nowMs + 1000L * Constants.RETRY_AFTER_S, false, nowMs);
-      line.waiting++;
+    if (reservations.dueAt(id) < 0) {
+      reservations.reserve(id, nowMs + 1000L * Constants.RETRY_AFTER_S, false, nowMs);
+      state.pendingRetries++;
     }
-    return refuse(flow, line, nowMs, nowMs).retryAfterS;
+    return refuse(trafficClass, state, nowMs, nowMs).retryAfterS;
   }
 
   /** It is accepted, or can never be: its promise is kept. */
-  public void settled(String job, Flow flow) {
+  public void settled(String job, TrafficClass trafficClass) {
     long id = Hashing.of(job);
-    Line line = lines.get(flow);
-    if (promises.dueAt(id) >= 0 && line != null) {
-      line.waiting = Math.max(0, line.waiting - 1);
+    ClassState state = states.get(trafficClass);
+    if (reservations.dueAt(id) >= 0 && state != null) {
+      state.pendingRetries = Math.max(0, state.pendingRetries - 1);
     }
-    promises.kept(id);
+    reservations.discard(id);
   }
 
   /** One line for each flow that was refused since the last call, for operators. */
   public void log() {
-    lines.forEach(this::log);
+    states.forEach(this::log);
   }
 
-  private void log(Flow flow, Line line) {
-    if (line.refused > 0) {
+  private void log(TrafficClass trafficClass, ClassState state) {
+    if (state.refused > 0) {
       LOG.info(
           "admission of {} {}: {} asked a second, {} admitted, {} refused, {} told to come again,"
               + " plan {} for {} a second",
-          flow.team(),
-          flow.jobclass(),
-          String.format("%.2f", line.asked),
-          line.admitted,
-          line.refused,
-          line.waiting,
-          plan.number(),
+          trafficClass.team(),
+          trafficClass.jobclass(),
+          String.format("%.2f", state.requestRate),
+          state.admitted,
+          state.refused,
+          state.pendingRetries,
+          plan.fingerprint(),
           String.format("%.1f", plan.capacity()));
     }
-    line.admitted = 0;
-    line.refused = 0;
+    state.admitted = 0;
+    state.refused = 0;
   }
 }
--- a/src/main/java/dunlincroft/admission/Plan.java
+++ b/src/main/java/dunlincroft/admission/Plan.java
@@ -21,12 +21,12 @@
  */
 public final class Plan {
   private final double capacity;
-  private final Object2DoubleMap<Flow> rates = new Object2DoubleOpenHashMap<>();
-  private final int number;
+  private final Object2DoubleMap<TrafficClass> rates = new Object2DoubleOpenHashMap<>();
+  private final int fingerprint;
 
   private Plan(double capacity, int number) {
     this.capacity = capacity;
-    this.number = number;
+    this.fingerprint = number;
   }
 
   /**
@@ -37,40 +37,42 @@
    * @param weight of a team, above 0
    */
   public static Plan of(
-      double capacity, Map<Flow, Double> demand, ToDoubleFunction<String> weight) {
-    List<Flow> flows = new ArrayList<>();
+      double capacity, Map<TrafficClass, Double> demand, ToDoubleFunction<String> weight) {
+    List<TrafficClass> classes = new ArrayList<>();
     demand.forEach(
-        (flow, asked) -> {
-          if (asked > 0) {
-            flows.add(flow);
+        (trafficClass, demanded) -> {
+          if (demanded > 0) {
+            classes.add(trafficClass);
           }
         });
-    flows.sort(
-        Comparator.comparing(Flow::team).thenComparing(Flow::jobclass).thenComparing(Flow::prod));
-    Plan plan = new Plan(capacity, number(capacity, flows, demand));
-    double[] open = new double[flows.size()];
-    double[] even = new double[flows.size()];
-    for (int i = 0; i < open.length; i++) {
-      open[i] = demand.get(flows.get(i));
-      even[i] = 1;
+    classes.sort(
+        Comparator.comparing(TrafficClass::team)
+            .thenComparing(TrafficClass::jobclass)
+            .thenComparing(TrafficClass::prod));
+    Plan plan = new Plan(capacity, fingerprint(capacity, classes, demand));
+    double[] unmet = new double[classes.size()];
+    double[] equalWeights = new double[classes.size()];
+    for (int i = 0; i < unmet.length; i++) {
+      unmet[i] = demand.get(classes.get(i));
+      equalWeights[i] = 1;
     }
-    double[] first = new double[open.length];
+    double[] guarantees = new double[unmet.length];
     double sum = 0;
-    for (int i = 0; i < open.length; i++) {
-      first[i] = Constants.ADMISSION_SERVED * open[i];
-      sum += first[i];
+    for (int i = 0; i < unmet.length; i++) {
+      guarantees[i] = Constants.ADMISSION_SERVED * unmet[i];
+      sum += guarantees[i];
     }
-    double[] got = fill(before(sum, capacity), first, even);
-    double left = capacity;
-    for (int i = 0; i < open.length; i++) {
-      open[i] -= got[i];
-      left -= got[i];
+    double[] granted = weightedMaxMin(guaranteedCapacity(sum, capacity), guarantees, equalWeights);
+    double remaining = capacity;
+    for (int i = 0; i < unmet.length; i++) {
+      unmet[i] -= granted[i];
+      remaining -= granted[i];
     }
     for (boolean prod : new boolean[] {true, false}) {
-      left -= plan.byTeam(flows, prod, left, open, got, weight);
+      remaining -= plan.shareByTeam(classes, prod, remaining, unmet, granted, weight);
     }
-    for (int i = 0; i < open.length; i++) {
-      plan.rates.put(flows.get(i), got[i]);
+    for (int i = 0; i < unmet.length; i++) {
+      plan.rates.put(classes.get(i), granted[i]);
     }
     return plan;
   }
@@ -79,72 +81,74 @@
    * What goes before all ranks, of a sum of first parts: all of it while it fits, and less the more
    * it is beyond the capacity, down to the floor, so that no estimate's flutter turns the plan.
    */
-  private static double before(double sum, double capacity) {
-    double beyond = Math.max(0, sum - capacity);
-    return Math.min(sum, Math.max(Constants.ADMISSION_FLOOR * capacity, capacity - beyond));
+  private static double guaranteedCapacity(double sum, double capacity) {
+    double excess = Math.max(0, sum - capacity);
+    return Math.min(sum, Math.max(Constants.ADMISSION_FLOOR * capacity, capacity - excess));
   }
 
   /** Shares out among the flows of one rank; returns what they took. */
-  private double byTeam(
-      List<Flow> flows,
+  private double shareByTeam(
+      List<TrafficClass> classes,
       boolean prod,
-      double left,
-      double[] open,
-      double[] got,
+      double remaining,
+      double[] unmet,
+      double[] granted,
       ToDoubleFunction<String> weight) {
     Map<String, List<Integer>> teams = new TreeMap<>();
-    for (int i = 0; i < open.length; i++) {
-      if (flows.get(i).prod() == prod) {
-        teams.computeIfAbsent(flows.get(i).team(), t -> new ArrayList<>()).add(i);
+    for (int i = 0; i < unmet.length; i++) {
+      if (classes.get(i).prod() == prod) {
+        teams.computeIfAbsent(classes.get(i).team(), t -> new ArrayList<>()).add(i);
       }
     }
     List<String> names = List.copyOf(teams.keySet());
-    double[] asked =
+    double[] demanded =
         names.stream()
-            .mapToDouble(team -> teams.get(team).stream().mapToDouble(i -> open[i]).sum())
+            .mapToDouble(team -> teams.get(team).stream().mapToDouble(i -> unmet[i]).sum())
             .toArray();
-    double[] parts = fill(left, asked, names.stream().mapToDouble(weight).toArray());
-    double taken = 0;
-    for (int t = 0; t < parts.length; t++) {
-      List<Integer> mine = teams.get(names.get(t));
-      double[] each = mine.stream().mapToDouble(i -> open[i]).toArray();
-      double[] even = mine.stream().mapToDouble(i -> 1).toArray();
-      double[] share = fill(parts[t], each, even);
-      for (int k = 0; k < share.length; k++) {
-        got[mine.get(k)] += share[k];
-        taken += share[k];
+    double[] teamShares =
+        weightedMaxMin(remaining, demanded, names.stream().mapToDouble(weight).toArray());
+    double totalGranted = 0;
+    for (int t = 0; t < teamShares.length; t++) {
+      List<Integer> members = teams.get(names.get(t));
+      double[] memberDemand = members.stream().mapToDouble(i -> unmet[i]).toArray();
+      double[] equalWeights = members.stream().mapToDouble(i -> 1).toArray();
+      double[] memberShares = weightedMaxMin(teamShares[t], memberDemand, equalWeights);
+      for (int k = 0; k < memberShares.length; k++) {
+        granted[members.get(k)] += memberShares[k];
+        totalGranted += memberShares[k];
       }
     }
-    return taken;
+    return totalGranted;
   }
 
   /** Weighted max-min: nobody above its demand, and all below it at one level of part by weight. */
-  static double[] fill(double capacity, double[] demand, double[] weight) {
+  static double[] weightedMaxMin(double capacity, double[] demand, double[] weight) {
     List<Integer> order = new ArrayList<>();
-    double weights = 0;
+    double remainingWeight = 0;
     for (int i = 0; i < demand.length; i++) {
       order.add(i);
-      weights += weight[i];
+      remainingWeight += weight[i];
     }
     order.sort(Comparator.comparingDouble(i -> demand[i] / weight[i]));
-    double[] got = new double[demand.length];
-    double left = Math.max(0, capacity);
+    double[] granted = new double[demand.length];
+    double remaining = Math.max(0, capacity);
     for (int i : order) {
-      got[i] = Math.min(demand[i], left * weight[i] / weights);
-      left -= got[i];
-      weights -= weight[i];
+      granted[i] = Math.min(demand[i], remaining * weight[i] / remainingWeight);
+      remaining -= granted[i];
+      remainingWeight -= weight[i];
     }
-    return got;
+    return granted;
   }
 
-  private static int number(double capacity, List<Flow> flows, Map<Flow, Double> demand) {
-    return Objects.hash(capacity, flows, flows.stream().map(demand::get).toList())
+  private static int fingerprint(
+      double capacity, List<TrafficClass> classes, Map<TrafficClass, Double> demand) {
+    return Objects.hash(capacity, classes, classes.stream().map(demand::get).toList())
         & Integer.MAX_VALUE;
   }
 
   /** Acceptances a second of a flow; 0 for one that asked for nothing. */
-  public double rate(Flow flow) {
-    return rates.getOrDefault(flow, 0);
+  public double rate(TrafficClass trafficClass) {
+    return rates.getOrDefault(trafficClass, 0);
   }
 
   /** What was shared out. */
@@ -153,7 +157,7 @@
   }
 
   /** Equal on all controllers that see the same picture: an answer can be traced to its plan. */
-  public int number() {
-    return number;
+  public int fingerprint() {
+    return fingerprint;
   }
 }
--- a/src/main/java/dunlincroft/admission/Promises.java
+++ b/src/main/java/dunlincroft/admission/RetryReservations.java
@@ -13,17 +13,17 @@
  * Whose turn is when, of those who were refused: by hash of the job's id, bounded in number and
  * age. Kept at every controller, so that a retry is known wherever the balancer leads it.
  */
-final class Promises {
+final class RetryReservations {
   private final Long2LongLinkedOpenHashMap dueAt = new Long2LongLinkedOpenHashMap();
 
   /** Those that have no turn yet: they come again, and are then given one. */
-  private final LongOpenHashSet loose = new LongOpenHashSet();
+  private final LongOpenHashSet tentative = new LongOpenHashSet();
 
-  private final Deque<Made> lately = new ArrayDeque<>();
+  private final Deque<Announcement> announcements = new ArrayDeque<>();
 
-  private record Made(long job, long dueMs, boolean loose, long atMs) {}
+  private record Announcement(long job, long dueMs, boolean tentative, long madeMs) {}
 
-  Promises() {
+  RetryReservations() {
     dueAt.defaultReturnValue(-1);
   }
 
@@ -33,45 +33,45 @@
   }
 
   /** We promise; the others are told. */
-  void make(long job, long dueMs, boolean withoutTurn, long nowMs) {
-    kept(job);
-    keep(job, dueMs, withoutTurn);
-    lately.addLast(new Made(job, dueMs, withoutTurn, nowMs));
-    if (lately.size() > Constants.BEAT_PROMISES) {
-      lately.removeFirst();
+  void reserve(long job, long dueMs, boolean withoutSlot, long nowMs) {
+    discard(job);
+    store(job, dueMs, withoutSlot);
+    announcements.addLast(new Announcement(job, dueMs, withoutSlot, nowMs));
+    if (announcements.size() > Constants.BEAT_PROMISES) {
+      announcements.removeFirst();
     }
   }
 
   /** A promise made here or told by another controller; a turn stays as it was first given. */
-  void keep(long job, long dueMs, boolean withoutTurn) {
-    if (!dueAt.containsKey(job) || (loose.contains(job) && !withoutTurn)) {
+  void store(long job, long dueMs, boolean withoutSlot) {
+    if (!dueAt.containsKey(job) || (tentative.contains(job) && !withoutSlot)) {
       dueAt.put(job, dueMs);
-      if (withoutTurn) {
-        loose.add(job);
+      if (withoutSlot) {
+        tentative.add(job);
       } else {
-        loose.remove(job);
+        tentative.remove(job);
       }
       if (dueAt.size() > Constants.PROMISES) {
-        kept(dueAt.firstLongKey());
+        discard(dueAt.firstLongKey());
       }
     }
   }
 
-  void kept(long job) {
+  void discard(long job) {
     dueAt.remove(job);
-    loose.remove(job);
+    tentative.remove(job);
   }
 
   /** Whether a job's user was told to come again without being given a turn. */
-  boolean loose(long job) {
-    return loose.contains(job);
+  boolean isTentative(long job) {
+    return tentative.contains(job);
   }
 
   /** Forgets those whose users have long given up, and after which nobody asks. */
-  void tick(long nowMs) {
+  void expire(long nowMs) {
     while (!dueAt.isEmpty()
         && dueAt.get(dueAt.firstLongKey()) + Constants.PROMISE_KEPT_MS < nowMs) {
-      kept(dueAt.firstLongKey());
+      discard(dueAt.firstLongKey());
     }
   }
 
@@ -79,13 +79,19 @@
    * What we promised of late, in milliseconds from now. Each is told in several beats, as a beat
    * may be lost, and every link has its own.
    */
-  List<Promise> tell(long nowMs) {
-    while (!lately.isEmpty() && lately.peekFirst().atMs + Constants.PROMISE_TOLD_MS < nowMs) {
-      lately.removeFirst();
+  List<Promise> announced(long nowMs) {
+    while (!announcements.isEmpty()
+        && announcements.peekFirst().madeMs + Constants.PROMISE_TOLD_MS < nowMs) {
+      announcements.removeFirst();
     }
-    List<Promise> told = new ArrayList<>(lately.size());
-    lately.forEach(
-        made -> told.add(new Promise(made.job, Math.max(0, made.dueMs - nowMs), made.loose)));
-    return told;
+    List<Promise> result = new ArrayList<>(announcements.size());
+    announcements.forEach(
+        announcement ->
+            result.add(
+                new Promise(
+                    announcement.job,
+                    Math.max(0, announcement.dueMs - nowMs),
+                    announcement.tentative)));
+    return result;
   }
 }
--- a/src/main/java/dunlincroft/admission/Flow.java
+++ b/src/main/java/dunlincroft/admission/TrafficClass.java
@@ -1,4 +1,4 @@
 package dunlincroft.admission;
 
 /** The jobs of one class of one team: what admission tells apart. */
-public record Flow(String team, String jobclass, boolean prod) {}
+public record TrafficClass(String team, String jobclass, boolean prod) {}
--- a/src/main/java/dunlincroft/coordination/Controller.java
+++ b/src/main/java/dunlincroft/coordination/Controller.java
@@ -9,9 +9,9 @@
 import dunlincroft.bookkeeping.Txn;
 import dunlincroft.calendar.SettlementCalendar;
 import dunlincroft.conditions.Conditions;
-import dunlincroft.membership.Custodian;
-import dunlincroft.membership.Local;
 import dunlincroft.membership.Membership;
+import dunlincroft.membership.NodeContext;
+import dunlincroft.membership.ShardListener;
 import dunlincroft.migration.MigrationLedger;
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.WorkerReport;
@@ -68,7 +68,8 @@
     ledger = new Ledger(world, terms);
     workers = new WorkerProtocol(world, ledger);
     world.feed = new Feed(env, store, replica, this::synced);
-    members = new Membership(new Local(settings, env, store, replica, world.feed), new Shards());
+    members =
+        new Membership(new NodeContext(settings, env, store, replica, world.feed), new Shards());
     standIn = new StandIn(world, members);
     scheduler = new Scheduler(world, ledger, terms);
     Cloud cloud =
@@ -104,7 +105,7 @@
 
   private void changed(String kind, String name) {
     world.index.changed(kind, name);
-    members.changed(kind, name);
+    members.recordChanged(kind, name);
     calendar.changed(kind, name);
     migrations.changed(kind, name);
     switch (kind) {
@@ -149,13 +150,13 @@
 
   private void synced() {
     world.index.rebuild();
-    members.names().forEach(shard -> members.changed(Replica.SHARDS, shard));
+    members.names().forEach(shard -> members.recordChanged(Replica.SHARDS, shard));
   }
 
   /** What membership tells us about shards. */
-  private final class Shards implements Custodian {
+  private final class Shards implements ShardListener {
     @Override
-    public boolean holds(String shard) {
+    public boolean owns(String shard) {
       return world.holds(shard);
     }
 
@@ -169,7 +170,7 @@
      * those with other tasks.
      */
     @Override
-    public void take(String shard, long stamp) {
+    public void acquire(String shard, long stamp) {
       world.take(shard, stamp);
       tickIn(0);
       figures.count(Figures.Event.TAKEOVER);
@@ -184,17 +185,17 @@
     }
 
     @Override
-    public void drop(String shard) {
+    public void release(String shard) {
       world.drop(shard);
     }
 
     @Override
-    public void nextInLine(boolean suspected) {
+    public void prepareTakeover(boolean suspected) {
       supply.lookAhead(suspected);
     }
 
     @Override
-    public void cancelledElsewhere(String job) {
+    public void cancelledByPeer(String job) {
       standIn.cancelled(job);
       JobRun run = world.jobs.get(job);
       if (run != null && run.stopMode() != JobRun.StopMode.ABANDON) {
@@ -228,7 +229,7 @@
     if (stood > Constants.STOOD_STILL_MS) {
       stoodStill(stood);
     } else if (stood > Constants.LATE_MS) {
-      members.late();
+      members.ticksDelayed();
     }
     tasks.runDue(now);
   }
@@ -258,14 +259,14 @@
   }
 
   private boolean leads() {
-    return members.leads() && world.feed.synced();
+    return members.isLeader() && world.feed.synced();
   }
 
   private void leadSlow() {
     if (leads()) {
       members.renewLeases(world.blocks.hosts().size(), world.policy.holderMachines());
-      calendar.lead(() -> members.asLeader(new Txn()), world.settings.txnOps());
-      migrations.lead(() -> members.asLeader(new Txn()), world.settings.txnOps());
+      calendar.lead(() -> members.guardAsLeader(new Txn()), world.settings.txnOps());
+      migrations.lead(() -> members.guardAsLeader(new Txn()), world.settings.txnOps());
     }
   }
 
@@ -331,8 +332,8 @@
         "node {} stood still for {} ms: what it did not hear meanwhile is no silence", me(), ms);
     figures.count(Figures.Event.STANDSTILL);
     world.stoodStill(ms);
-    members.stoodStill(ms);
-    jobs.admission().stoodStill();
+    members.pauseDetected(ms);
+    jobs.admission().pauseDetected();
   }
 
   private String me() {
@@ -347,7 +348,7 @@
 
   /** Who holds machines must see new jobs at once; the others mostly accept them. */
   private void share() {
-    boolean holder = members.leaseHolders().stream().anyMatch(world::holds);
+    boolean holder = members.leasedShards().stream().anyMatch(world::holds);
     world.feed.pause(holder ? Constants.WATCH_PAUSE_MS : Constants.WATCH_CALM_MS);
     members.shareRates();
   }
@@ -355,17 +356,17 @@
   // ---- the link ----
 
   public Beat beat() {
-    return members.beat(jobs.admission().load(world.now()), supply.silentMachines());
+    return members.heartbeat(jobs.admission().load(world.now()), supply.silentMachines());
   }
 
   public void heard(Beat beat) {
-    members.heard(beat);
-    jobs.admission().heard(beat.node(), beat.load(), world.now());
+    members.heartbeatReceived(beat);
+    jobs.admission().loadReceived(beat.node(), beat.load(), world.now());
   }
 
   /** Another controller refuses connections of ours, or no longer does. */
   public void refused(String node, boolean refused) {
-    members.refused(node, refused);
+    members.connectionRefused(node, refused);
   }
 
   /**
@@ -376,8 +377,8 @@
   public boolean ready() {
     boolean current =
         world.feed.synced() && !world.types.isEmpty() && world.feed.silentMs() < Constants.STALE_MS;
-    boolean begins = world.now() - startedAt < Constants.BEGIN_MS && !members.othersAtWork();
-    return current || begins || members.allOutOfTouch();
+    boolean begins = world.now() - startedAt < Constants.BEGIN_MS && !members.hasActivePeers();
+    return current || begins || members.areAllPeersDisconnected();
   }
 
   // ---- workers ----
--- a/src/main/java/dunlincroft/coordination/Handover.java
+++ b/src/main/java/dunlincroft/coordination/Handover.java
@@ -21,7 +21,7 @@
   }
 
   void tick() {
-    Set<String> shards = new HashSet<>(members.leaseHolders());
+    Set<String> shards = new HashSet<>(members.leasedShards());
     world.blocks.all().forEach(block -> shards.add(block.record().shard()));
     world
         .replica
--- a/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
@@ -63,7 +63,7 @@
     Machine machine = world.machines.get(report.host());
     if (world.holds(shard) && machine != null) {
       // A cancellation that some user was told and we do not know of could outlast its time.
-      if (members.unsureOfCancellationsMs() > world.cutMs()) {
+      if (members.cancellationLagMs() > world.cutMs()) {
         unavailable(UnavailableCause.UNSURE_OF_CANCELS, out);
         return;
       }
@@ -86,23 +86,23 @@
       away(null, out);
       return;
     }
-    String holder = members.holderOf(shard);
+    String holder = members.ownerOf(shard);
     boolean others = holder != null && !holder.equals(world.settings.node());
     if (others && since == world.now()) {
       world.endpoints.put(report.host(), report.endpoint());
-      if (members.strayed(report.host(), shard)) {
+      if (members.recordRedirect(report.host(), shard)) {
         StatusQuery.ask(
             world.env,
             report.host(),
             report.endpoint(),
             answer -> {
               if (answer.isFromHost()) {
-                members.accuse(report.host(), shard);
+                members.reportUnreachable(report.host(), shard);
               }
             });
       }
     }
-    if (members.unsettled(shard) && world.now() - since < Constants.HELLO_WAIT_MS) {
+    if (members.isOwnerChanging(shard) && world.now() - since < Constants.HELLO_WAIT_MS) {
       // Sent to a node that is gone it would lose five seconds, and perhaps come here again.
       waiting.add(new Waiting(report, out, since));
     } else {
@@ -133,7 +133,7 @@
   }
 
   private void unknown(WorkerReport report, Responder out) {
-    if (members.leads()) {
+    if (members.isLeader()) {
       discovery.reported(report);
       unavailable(UnavailableCause.NEW_MACHINE, out);
       return;
--- a/src/main/java/dunlincroft/coordination/JobDesk.java
+++ b/src/main/java/dunlincroft/coordination/JobDesk.java
@@ -5,7 +5,7 @@
 import dunlincroft.Constants;
 import dunlincroft.Settings;
 import dunlincroft.admission.Admission;
-import dunlincroft.admission.Flow;
+import dunlincroft.admission.TrafficClass;
 import dunlincroft.bookkeeping.JobIndex;
 import dunlincroft.bookkeeping.Replica;
 import dunlincroft.bookkeeping.Replica.Item;
@@ -129,7 +129,7 @@
                       : there));
       return;
     }
-    String owner = members.ownerOf(ref);
+    String owner = members.shardForJob(ref);
     if (verdict == Verdict.UNAVAILABLE || owner == null) {
       then.accept(Outcome.unavailable(ref, UnavailableCause.NO_OWNER));
       return;
@@ -143,7 +143,7 @@
         JobIndex.record(spec, owner, world.settings.pageTasks(), world.env.wallMillis());
     boolean prod = spec.rank() == JobSpec.Rank.PROD;
     Urgency urgency = prod ? Urgency.ACCEPT_PROD : Urgency.ACCEPT;
-    Flow flow = new Flow(spec.owner(), spec.jobclass(), prod);
+    TrafficClass flow = new TrafficClass(spec.owner(), spec.jobclass(), prod);
     Admission.Verdict verdict =
         admission.offer(ref, flow, world.store.waitMs(urgency, 1), world.now());
     if (!verdict.admitted()) {
@@ -176,7 +176,9 @@
             case REFUSED ->
                 then.accept(
                     Outcome.later(
-                        ref, UnavailableCause.NO_BUDGET, admission.again(ref, flow, world.now())));
+                        ref,
+                        UnavailableCause.NO_BUDGET,
+                        admission.retryLater(ref, flow, world.now())));
             default -> then.accept(Outcome.unavailable(ref, UnavailableCause.NO_ANSWER));
           }
         });
@@ -205,7 +207,7 @@
 
   private Outcome ended(String ref, JsonNode end, long revision) {
     String status = end.path(Replica.STATUS).asText();
-    if (status.equals(Wire.WITHDRAWN) && !members.tellCancelled(ref, revision)) {
+    if (status.equals(Wire.WITHDRAWN) && !members.acknowledgeCancellation(ref, revision)) {
       return Outcome.unavailable(ref, UnavailableCause.PROMISED);
     }
     return new Outcome(Verdict.OK, ref, status, end.path("done").asInt(), 0);
@@ -293,7 +295,7 @@
 
   /** Who tells of a cancellation vouches for it to the other controllers, before the user knows. */
   private Outcome withdrawn(String ref, long revision, int done) {
-    return members.tellCancelled(ref, revision)
+    return members.acknowledgeCancellation(ref, revision)
         ? new Outcome(Verdict.OK, ref, Wire.WITHDRAWN, done, 0)
         : Outcome.unavailable(ref, UnavailableCause.PROMISED);
   }
--- a/src/main/java/dunlincroft/coordination/MachineDiscovery.java
+++ b/src/main/java/dunlincroft/coordination/MachineDiscovery.java
@@ -82,7 +82,7 @@
         report.endpoint(),
         answer -> {
           asking.remove(host);
-          if (members.leads() && answer.isFromHost()) {
+          if (members.isLeader() && answer.isFromHost()) {
             adopt(
                 List.of(host),
                 new BlockClass(report.flavour(), report.hall(), report.lendable()),
@@ -144,7 +144,7 @@
 
   void tick() {
     gone.values().removeIf(until -> world.now() > until);
-    if (!members.leads()) {
+    if (!members.isLeader()) {
       // Whoever does finds in the cloud's list what we rented.
       offered.clear();
       newcomers.clear();
@@ -169,7 +169,7 @@
 
   /** Makes blocks of the newcomers, by class and shard. */
   private void group() {
-    List<String> holders = members.leaseHolders();
+    List<String> holders = members.leasedShards();
     if (newcomers.isEmpty() || holders.isEmpty()) {
       return;
     }
@@ -250,7 +250,7 @@
     String lastKey = Wire.key(Replica.ADOPTIONS, LAST);
     Txn txn =
         members
-            .asLeader(new Txn())
+            .guardAsLeader(new Txn())
             .guard(lastKey, world.replica.stamp(Replica.ADOPTIONS, LAST))
             .put(lastKey, last);
     for (Map.Entry<String, BlockRecord> entry : offered.entrySet()) {
--- a/src/main/java/dunlincroft/coordination/MachineList.java
+++ b/src/main/java/dunlincroft/coordination/MachineList.java
@@ -124,7 +124,7 @@
   private void listed(Listing machine) {
     if (world.blocks.of(machine.host()) == null) {
       // The list lags: a machine returned a moment ago still shows. One that stays is unexpected.
-      if (members.leads()
+      if (members.isLeader()
           && !discovery.isGone(machine.host())
           && world.now() - seenUnknown.computeIfAbsent(machine.host(), host -> world.now())
               >= lags(Constants.UNKNOWN_LAGS)) {
--- a/src/main/java/dunlincroft/coordination/Renting.java
+++ b/src/main/java/dunlincroft/coordination/Renting.java
@@ -89,7 +89,7 @@
 
   /** Takes in what other owners tell of their machines; once a second. */
   void hearOthers() {
-    silentElsewhere = members.silentElsewhere();
+    silentElsewhere = members.silentMachinesOfPeers();
   }
 
   /**
--- a/src/main/java/dunlincroft/coordination/ShareHandover.java
+++ b/src/main/java/dunlincroft/coordination/ShareHandover.java
@@ -8,8 +8,8 @@
 import dunlincroft.bookkeeping.Replica;
 import dunlincroft.bookkeeping.Replica.Item;
 import dunlincroft.bookkeeping.Txn;
-import dunlincroft.limits.Claim;
 import dunlincroft.limits.SharePlan;
+import dunlincroft.limits.ShareRequest;
 import dunlincroft.limits.Transfer;
 import dunlincroft.protocol.JobSpec.Rank;
 import dunlincroft.protocol.Room;
@@ -112,7 +112,7 @@
     Map<String, Room> work = demand.byShardOf(team);
     Map<String, Room> used = used(team, parts.keySet());
     work.keySet().removeIf(shard -> world.replica.get(Replica.SHARDS, shard) == null);
-    List<Claim> claims = claims(waiting, parts, used, room);
+    List<ShareRequest> claims = claims(waiting, parts, used, room);
     List<Transfer> plan = SharePlan.transfers(parts, used, work, claims);
     List<String> givers = plan.stream().map(Transfer::from).distinct().toList();
     Seen last = seen.get(team);
@@ -161,12 +161,12 @@
   }
 
   /** Waiting tasks that machines of their shard have room for, as far as is known. */
-  private List<Claim> claims(
+  private List<ShareRequest> claims(
       List<JobIndex.Job> waiting,
       Map<String, Room> parts,
       Map<String, Room> used,
       RecordedRoom room) {
-    List<Claim> claims = new ArrayList<>();
+    List<ShareRequest> claims = new ArrayList<>();
     for (JobIndex.Job job : waiting) {
       if (claims.size() == Constants.CLAIMS_LOOKED_AT) {
         break;
@@ -178,7 +178,7 @@
           parts.getOrDefault(job.shard, Room.NONE).minus(used.getOrDefault(job.shard, Room.NONE));
       boolean served = tasks > 0 && job.spec.room().countIn(limited(unused), 1) > 0;
       if (tasks > 0 && !history.isPassedOver(job, served)) {
-        claims.add(new Claim(job.shard, limited(job.spec.room()), tasks));
+        claims.add(new ShareRequest(job.shard, limited(job.spec.room()), tasks));
       }
     }
     return claims;
@@ -202,8 +202,8 @@
     Room all = Room.NONE;
     Set<String> to = new HashSet<>();
     for (Transfer gift : gifts) {
-      add(parts, gift.to(), gift.room());
-      all = all.plus(gift.room());
+      add(parts, gift.to(), gift.amount());
+      all = all.plus(gift.amount());
       to.add(gift.to());
     }
     add(parts, from, Room.NONE.minus(all));
--- a/src/main/java/dunlincroft/coordination/StandIn.java
+++ b/src/main/java/dunlincroft/coordination/StandIn.java
@@ -51,8 +51,8 @@
     }
     String shard = block.record().shard();
     long recorded = Math.max(block.stamp(), world.replica.stamp(Replica.SHARDS, shard));
-    boolean nobodyElse = report.fence() > recorded || !members.holderActs(shard);
-    return nobodyElse && members.unsureOfCancellationsMs() <= world.cutMs();
+    boolean nobodyElse = report.fence() > recorded || !members.isOwnerAlive(shard);
+    return nobodyElse && members.cancellationLagMs() <= world.cutMs();
   }
 
   /**
@@ -60,7 +60,7 @@
    * would come back, and it had better try all others.
    */
   boolean nobodyFollows(String shard) {
-    return outage() && !members.holderActs(shard);
+    return outage() && !members.isOwnerAlive(shard);
   }
 
   /**
@@ -68,7 +68,7 @@
    * hear from its workers.
    */
   private boolean outage() {
-    return world.feed.silentMs() > Constants.STALE_MS && members.outageIsCommon();
+    return world.feed.silentMs() > Constants.STALE_MS && members.isCommonOutage();
   }
 
   /** What a worker is told: to stop what is cancelled, and else to go on. */
@@ -80,7 +80,7 @@
             .map(piece -> Order.kill(piece.id(), piece.attempt(), 0))
             .toList();
     world.figures.count(Figures.Event.STOOD_IN);
-    return Order.body(Math.max(report.fence(), members.cancellationsUpTo()), orders);
+    return Order.body(Math.max(report.fence(), members.highestCancellationRevision()), orders);
   }
 
   private boolean isCancelled(Piece piece) {
--- a/src/main/java/dunlincroft/coordination/Supply.java
+++ b/src/main/java/dunlincroft/coordination/Supply.java
@@ -62,13 +62,13 @@
 
   /** Every node learns the types from the record; who knows none asks the cloud. */
   void typesTick() {
-    if (members.leads()
+    if (members.isLeader()
         && !recordingTypes
         && !world.types.isEmpty()
         && world.replica.get(Replica.TYPES, ALL) == null) {
       recordTypes();
     }
-    if (world.now() < nextTypes || (!members.leads() && !world.types.isEmpty())) {
+    if (world.now() < nextTypes || (!members.isLeader() && !world.types.isEmpty())) {
       return;
     }
     nextTypes = world.now() + (world.types.isEmpty() ? 2000 : Constants.TYPES_MS);
@@ -87,7 +87,7 @@
           }
           boolean first = world.types.isEmpty();
           world.types(types);
-          if (members.leads() && first) {
+          if (members.isLeader() && first) {
             recordTypes();
           }
         });
@@ -102,7 +102,7 @@
     world.store.commit(
         Urgency.HANDS,
         members
-            .asLeader(new Txn())
+            .guardAsLeader(new Txn())
             .put(
                 Wire.key(Replica.TYPES, ALL),
                 MachineType.toNode(List.copyOf(world.types.values()))),
@@ -128,11 +128,11 @@
 
   /** The first lease holder gets each team's whole limit; shares move by their holders alone. */
   private void recordShares() {
-    List<String> holders = members.leaseHolders();
+    List<String> holders = members.leasedShards();
     if (holders.isEmpty()) {
       return;
     }
-    Txn txn = members.asLeader(new Txn());
+    Txn txn = members.guardAsLeader(new Txn());
     for (Settings.Team team : world.settings.teams().values()) {
       String key = Wire.key(Replica.SHARES, team.name());
       if (world.replica.get(Replica.SHARES, team.name()) == null
@@ -189,9 +189,9 @@
    * then, the others want next to nothing.
    */
   private double cloudPart() {
-    List<String> holders = members.leaseHolders();
+    List<String> holders = members.leasedShards();
     long ours = holders.stream().filter(world::holds).count();
-    if (members.leads()) {
+    if (members.isLeader()) {
       return ours == holders.size() ? Constants.CLOUD_ALL_PART : Constants.CLOUD_HALF_PART;
     }
     if (ours > 0) {
--- a/src/main/java/dunlincroft/coordination/ZoneWatch.java
+++ b/src/main/java/dunlincroft/coordination/ZoneWatch.java
@@ -94,7 +94,7 @@
             .allMatch(
                 other ->
                     other.getKey().equals(zone) || other.getValue().mostly(other.getValue().heard))
-        && members.onlySilent(zone);
+        && members.isOnlySilentZone(zone);
   }
 
   /** Whether a zone is cut off: nothing is rented there meanwhile. */
@@ -123,7 +123,7 @@
       return Math.max(world.reports(Constants.DEAD_MANY_REPORTS), lease + boot);
     }
     // Not all at once: their images are fetched by few machines, which share their rate.
-    long answered = members.takenFrom(machine.shard, machine.hall) ? world.cutMs() : 0;
+    long answered = members.isAcquiredFrom(machine.shard, machine.hall) ? world.cutMs() : 0;
     long last = lease + answered - Constants.ZONE_LEAD_MS;
     double turn = (Hashing.of(machine.host) >>> 11) * 0x1p-53;
     return Math.max(
@@ -138,6 +138,6 @@
     long silent = world.now() - machine.session.lastHeardMs();
     return machine.session.hasReported() || !cut.contains(machine.hall)
         ? silent
-        : Math.max(silent, members.silentMs(machine.hall));
+        : Math.max(silent, members.zoneSilentMs(machine.hall));
   }
 }
--- a/src/main/java/dunlincroft/limits/SharePlan.java
+++ b/src/main/java/dunlincroft/limits/SharePlan.java
@@ -19,15 +19,16 @@
   private final Map<String, Room> reserved = new HashMap<>();
 
   /** What no claim has reserved yet, of all shards together. */
-  private Room left = Room.NONE;
+  private Room unreserved = Room.NONE;
 
   private SharePlan(Map<String, Room> parts, Map<String, Room> used) {
     parts.forEach(
         (shard, part) -> {
-          Room rest = limited(part).minus(limited(used.getOrDefault(shard, Room.NONE)));
-          Room free = new Room(Math.max(0, rest.cpu()), Math.max(0, rest.gpu()), 0);
+          Room unusedPart =
+              withoutMemory(part).minus(withoutMemory(used.getOrDefault(shard, Room.NONE)));
+          Room free = new Room(Math.max(0, unusedPart.cpu()), Math.max(0, unusedPart.gpu()), 0);
           unused.put(shard, free);
-          left = left.plus(free);
+          unreserved = unreserved.plus(free);
         });
   }
 
@@ -37,47 +38,50 @@
    * @param parts each shard's part of the limit
    * @param used what the tasks of each shard take of it
    * @param work what all open work of each shard takes, running work included
-   * @param claims waiting tasks, who is served first first
+   * @param requests waiting tasks, who is served first first
    */
   public static List<Transfer> transfers(
-      Map<String, Room> parts, Map<String, Room> used, Map<String, Room> work, List<Claim> claims) {
+      Map<String, Room> parts,
+      Map<String, Room> used,
+      Map<String, Room> work,
+      List<ShareRequest> requests) {
     SharePlan plan = new SharePlan(parts, used);
-    plan.reserve(claims);
-    Map<String, Room> missing = plan.missing();
-    if (missing.isEmpty()) {
-      missing = plan.headroom(parts, work);
+    plan.reserve(requests);
+    Map<String, Room> shortage = plan.shortfalls();
+    if (shortage.isEmpty()) {
+      shortage = plan.shareByWork(parts, work);
     }
-    return plan.match(missing);
+    return plan.match(shortage);
   }
 
   /** Every claim gets one task's room, in order, before any gets more. */
-  private void reserve(List<Claim> claims) {
-    for (Claim claim : claims) {
-      reserve(claim, Math.min(1, claim.tasks()));
+  private void reserve(List<ShareRequest> requests) {
+    for (ShareRequest request : requests) {
+      reserve(request, Math.min(1, request.tasks()));
     }
-    for (Claim claim : claims) {
-      reserve(claim, claim.tasks() - 1);
+    for (ShareRequest request : requests) {
+      reserve(request, request.tasks() - 1);
     }
   }
 
-  private void reserve(Claim claim, int most) {
-    Room task = limited(claim.task());
-    int tasks = task.countIn(left, Math.max(0, most));
-    left = left.minus(task.times(tasks));
-    reserved.merge(claim.shard(), task.times(tasks), Room::plus);
+  private void reserve(ShareRequest request, int maxTasks) {
+    Room task = withoutMemory(request.taskResources());
+    int tasks = task.countIn(unreserved, Math.max(0, maxTasks));
+    unreserved = unreserved.minus(task.times(tasks));
+    reserved.merge(request.shard(), task.times(tasks), Room::plus);
   }
 
   /** What shards lack for the tasks that they have reserved room for. */
-  private Map<String, Room> missing() {
-    Map<String, Room> missing = new TreeMap<>();
+  private Map<String, Room> shortfalls() {
+    Map<String, Room> shortage = new TreeMap<>();
     reserved.forEach(
-        (shard, room) -> {
-          Room lack = positive(room.minus(unused.getOrDefault(shard, Room.NONE)));
-          if (lack.cpu() + lack.gpu() > 0) {
-            missing.put(shard, lack);
+        (shard, resources) -> {
+          Room shortfall = nonNegative(resources.minus(unused.getOrDefault(shard, Room.NONE)));
+          if (shortfall.cpu() + shortfall.gpu() > 0) {
+            shortage.put(shard, shortfall);
           }
         });
-    return missing;
+    return shortage;
   }
 
   /**
@@ -85,76 +89,78 @@
    * at their own shard. A shard whose part covers all its work, or that has half of its due, asks
    * for nothing: two shards would give the same part to and fro.
    */
-  private Map<String, Room> headroom(Map<String, Room> parts, Map<String, Room> work) {
-    Map<String, Room> missing = new TreeMap<>();
-    Room all = work.values().stream().reduce(Room.NONE, Room::plus);
-    Room spare = left;
+  private Map<String, Room> shareByWork(Map<String, Room> parts, Map<String, Room> work) {
+    Map<String, Room> shortage = new TreeMap<>();
+    Room totalWork = work.values().stream().reduce(Room.NONE, Room::plus);
+    Room spare = unreserved;
     for (Map.Entry<String, Room> entry : work.entrySet()) {
       String shard = entry.getKey();
       Room part = parts.getOrDefault(shard, Room.NONE);
-      Room due = proportion(spare, entry.getValue(), all);
-      Room has = rest(shard);
-      boolean needsCpu = entry.getValue().cpu() > part.cpu() && has.cpu() < due.cpu() / 2;
-      boolean needsGpu = entry.getValue().gpu() > part.gpu() && has.gpu() < due.gpu() / 2;
+      Room target = proportion(spare, entry.getValue(), totalWork);
+      Room current = available(shard);
+      boolean needsCpu = entry.getValue().cpu() > part.cpu() && current.cpu() < target.cpu() / 2;
+      boolean needsGpu = entry.getValue().gpu() > part.gpu() && current.gpu() < target.gpu() / 2;
       if (needsCpu || needsGpu) {
-        missing.put(
+        shortage.put(
             shard,
             new Room(
-                needsCpu ? due.cpu() - has.cpu() : 0, needsGpu ? due.gpu() - has.gpu() : 0, 0));
+                needsCpu ? target.cpu() - current.cpu() : 0,
+                needsGpu ? target.gpu() - current.gpu() : 0,
+                0));
       }
       // Nobody gives below its own due.
       reserved.merge(
           shard,
-          new Room(Math.min(has.cpu(), due.cpu()), Math.min(has.gpu(), due.gpu()), 0),
+          new Room(Math.min(current.cpu(), target.cpu()), Math.min(current.gpu(), target.gpu()), 0),
           Room::plus);
     }
-    return missing;
+    return shortage;
   }
 
   /** What a shard has beyond what is reserved there. */
-  private Room rest(String shard) {
-    Room has = unused.getOrDefault(shard, Room.NONE);
-    return positive(has.minus(reserved.getOrDefault(shard, Room.NONE)));
+  private Room available(String shard) {
+    Room unusedHere = unused.getOrDefault(shard, Room.NONE);
+    return nonNegative(unusedHere.minus(reserved.getOrDefault(shard, Room.NONE)));
   }
 
   /** Who has the most beyond its own claims gives first: so few changes as can be. */
-  private List<Transfer> match(Map<String, Room> missing) {
+  private List<Transfer> match(Map<String, Room> shortage) {
     List<Transfer> transfers = new ArrayList<>();
-    Map<String, Room> open = new TreeMap<>(missing);
+    Map<String, Room> unmet = new TreeMap<>(shortage);
     unused.keySet().stream()
-        .sorted(Comparator.comparingLong((String shard) -> -rest(shard).cpu()))
+        .sorted(Comparator.comparingLong((String shard) -> -available(shard).cpu()))
         .forEach(
             from -> {
-              Room gives = rest(from);
-              for (Map.Entry<String, Room> lack : open.entrySet()) {
-                Room gift = least(gives, lack.getValue());
-                if (gift.cpu() + gift.gpu() > 0 && !lack.getKey().equals(from)) {
-                  transfers.add(new Transfer(from, lack.getKey(), gift));
-                  gives = gives.minus(gift);
-                  lack.setValue(lack.getValue().minus(gift));
+              Room offered = available(from);
+              for (Map.Entry<String, Room> shortfall : unmet.entrySet()) {
+                Room amount = componentMin(offered, shortfall.getValue());
+                if (amount.cpu() + amount.gpu() > 0 && !shortfall.getKey().equals(from)) {
+                  transfers.add(new Transfer(from, shortfall.getKey(), amount));
+                  offered = offered.minus(amount);
+                  shortfall.setValue(shortfall.getValue().minus(amount));
                 }
               }
             });
     return transfers;
   }
 
-  private static Room limited(Room room) {
-    return new Room(room.cpu(), room.gpu(), 0);
+  private static Room withoutMemory(Room resources) {
+    return new Room(resources.cpu(), resources.gpu(), 0);
   }
 
-  private static Room positive(Room room) {
-    return new Room(Math.max(0, room.cpu()), Math.max(0, room.gpu()), 0);
+  private static Room nonNegative(Room resources) {
+    return new Room(Math.max(0, resources.cpu()), Math.max(0, resources.gpu()), 0);
   }
 
-  private static Room least(Room one, Room other) {
+  private static Room componentMin(Room one, Room other) {
     return new Room(Math.min(one.cpu(), other.cpu()), Math.min(one.gpu(), other.gpu()), 0);
   }
 
   /** The part of a room that goes by work; in doubles, as limits may be as good as none. */
-  private static Room proportion(Room room, Room work, Room all) {
+  private static Room proportion(Room resources, Room work, Room totalWork) {
     return new Room(
-        all.cpu() == 0 ? 0 : (long) ((double) room.cpu() * work.cpu() / all.cpu()),
-        all.gpu() == 0 ? 0 : (long) ((double) room.gpu() * work.gpu() / all.gpu()),
+        totalWork.cpu() == 0 ? 0 : (long) ((double) resources.cpu() * work.cpu() / totalWork.cpu()),
+        totalWork.gpu() == 0 ? 0 : (long) ((double) resources.gpu() * work.gpu() / totalWork.gpu()),
         0);
   }
 }
--- a/src/main/java/dunlincroft/limits/Claim.java
+++ b/src/main/java/dunlincroft/limits/ShareRequest.java
@@ -7,7 +7,7 @@
  * room for them.
  *
  * @param shard the shard that owns the job
- * @param task what each task takes
+ * @param taskResources what each task takes
  * @param tasks how many of them could start at once
  */
-public record Claim(String shard, Room task, int tasks) {}
+public record ShareRequest(String shard, Room taskResources, int tasks) {}
--- a/src/main/java/dunlincroft/limits/Transfer.java
+++ b/src/main/java/dunlincroft/limits/Transfer.java
@@ -3,4 +3,4 @@
 import dunlincroft.protocol.Room;
 
 /** A part of a team's limit that one shard gives to another. */
-public record Transfer(String from, String to, Room room) {}
+public record Transfer(String from, String to, Room amount) {}
--- a/src/main/java/dunlincroft/membership/FailureDetector.java
+++ b/src/main/java/dunlincroft/membership/FailureDetector.java
@@ -24,9 +24,9 @@
 
   /** What is known of one peer. */
   private static final class Peer {
-    final Intervals intervals = new Intervals();
-    Beat beat;
-    long beatAt;
+    final HeartbeatIntervals intervals = new HeartbeatIntervals();
+    Beat heartbeat;
+    long heartbeatAt;
 
     /** The highest it has named: a later life has a higher one, and none before its first hold. */
     long incarnation;
@@ -35,14 +35,14 @@
     long aliveAt;
 
     boolean refused;
-    Trust trust = Trust.TRUSTED;
+    PeerState state = PeerState.TRUSTED;
 
     /** Condemned because its process has ended, not only for its silence. */
-    boolean gone;
+    boolean processEnded;
 
     /** How often it has refuted, as it last told us itself. */
-    long count() {
-      return beat == null ? 0 : beat.count();
+    long refutations() {
+      return heartbeat == null ? 0 : heartbeat.count();
     }
   }
 
@@ -50,55 +50,63 @@
   private final Map<String, Peer> peers = new TreeMap<>();
 
   /** Lifeguard's local health: 0 is well; each step makes us wait for longer before we suspect. */
-  private int unwell;
+  private int localHealth;
 
-  private long healedAt;
-  private long lonelyAt = Long.MIN_VALUE / 2;
-  private boolean lonely;
+  private long healthChangedAt;
+  private long isolatedAt = Long.MIN_VALUE / 2;
+  private boolean isolated;
 
   public FailureDetector(String self, Collection<String> others, long nowMs) {
     this.self = self;
     for (String other : others) {
       Peer peer = new Peer();
-      peer.beatAt = nowMs;
+      peer.heartbeatAt = nowMs;
       peer.aliveAt = nowMs;
       peers.put(other, peer);
     }
-    healedAt = nowMs;
+    healthChangedAt = nowMs;
   }
 
   // ---- evidence ----
 
   /** A beat came. */
-  public void heard(Beat beat, long nowMs) {
-    Peer peer = peers.get(beat.node());
+  public void heartbeatReceived(Beat heartbeat, long nowMs) {
+    Peer peer = peers.get(heartbeat.node());
     if (peer == null) {
       return;
     }
-    if (peer.beat != null && beat.incarnation() != 0 && beat.incarnation() < peer.incarnation) {
+    if (peer.heartbeat != null
+        && heartbeat.incarnation() != 0
+        && heartbeat.incarnation() < peer.incarnation) {
       return; // A former life's, held back on its way: it says nothing about this one.
     }
-    boolean same = peer.beat != null && peer.beat.incarnation() == beat.incarnation();
-    peer.incarnation = Math.max(peer.incarnation, beat.incarnation());
-    if (same) {
-      peer.intervals.add(nowMs - peer.beatAt);
+    boolean isSameIncarnation =
+        peer.heartbeat != null && peer.heartbeat.incarnation() == heartbeat.incarnation();
+    peer.incarnation = Math.max(peer.incarnation, heartbeat.incarnation());
+    if (isSameIncarnation) {
+      peer.intervals.add(nowMs - peer.heartbeatAt);
     }
-    peer.beat = beat;
-    peer.beatAt = nowMs;
+    peer.heartbeat = heartbeat;
+    peer.heartbeatAt = nowMs;
     peer.refused = false;
-    alive(beat.node(), peer, same ? "it is heard again" : "it is back in a new life", nowMs);
-    for (Hearing hearing : beat.hearings()) {
-      relayed(beat.node(), hearing, nowMs);
+    markAlive(
+        heartbeat.node(),
+        peer,
+        isSameIncarnation ? "it is heard again" : "it is back in a new life",
+        nowMs);
+    for (Hearing observation : heartbeat.hearings()) {
+      relayReceived(heartbeat.node(), observation, nowMs);
     }
   }
 
   /** Another one hears a peer that has said more often than we knew that it is there. */
-  private void relayed(String from, Hearing hearing, long nowMs) {
-    Peer peer = peers.get(hearing.node());
+  private void relayReceived(String from, Hearing observation, long nowMs) {
+    Peer peer = peers.get(observation.node());
     if (peer != null
-        && hearing.count() > peer.count()
-        && nowMs - hearing.silentMs() > peer.aliveAt) {
-      alive(hearing.node(), peer, "it refuted by way of " + from, nowMs - hearing.silentMs());
+        && observation.count() > peer.refutations()
+        && nowMs - observation.silentMs() > peer.aliveAt) {
+      markAlive(
+          observation.node(), peer, "it refuted by way of " + from, nowMs - observation.silentMs());
     }
   }
 
@@ -106,120 +114,122 @@
    * A record that only this peer writes has changed. News of the records lag: what is seen soon
    * after its last beat may have been written before it ended.
    */
-  public void wrote(String node, long nowMs) {
+  public void recordWritten(String node, long nowMs) {
     Peer peer = peers.get(node);
-    if (peer != null && nowMs - peer.beatAt > Constants.RECORD_LAG_MS) {
-      alive(node, peer, "it writes records", nowMs);
+    if (peer != null && nowMs - peer.heartbeatAt > Constants.RECORD_LAG_MS) {
+      markAlive(node, peer, "it writes records", nowMs);
     }
   }
 
   /** Its connections are refused, or no longer are. */
-  public void refused(String node, boolean refused) {
+  public void connectionRefused(String node, boolean refused) {
     Peer peer = peers.get(node);
     if (peer != null) {
       peer.refused = refused;
     }
   }
 
-  private void alive(String node, Peer peer, String why, long atMs) {
+  private void markAlive(String node, Peer peer, String reason, long atMs) {
     peer.aliveAt = Math.max(peer.aliveAt, atMs);
-    if (peer.trust != Trust.TRUSTED) {
-      LOG.info("node {} is trusted again: {}", node, why);
-      peer.trust = Trust.TRUSTED;
+    if (peer.state != PeerState.TRUSTED) {
+      LOG.info("node {} is trusted again: {}", node, reason);
+      peer.state = PeerState.TRUSTED;
     }
   }
 
   /** We heard nobody for so long because we stood still: that is nobody else's silence. */
-  public void stoodStill(long ms, long nowMs) {
+  public void pauseDetected(long ms, long nowMs) {
     for (Peer peer : peers.values()) {
-      peer.beatAt = Math.min(nowMs, peer.beatAt + ms);
+      peer.heartbeatAt = Math.min(nowMs, peer.heartbeatAt + ms);
       peer.aliveAt = Math.min(nowMs, peer.aliveAt + ms);
     }
-    late(nowMs);
+    ticksDelayed(nowMs);
   }
 
   /** Our own clockwork ran late: what we believe of others is worth less for a while. */
-  public void late(long nowMs) {
-    unwell = Math.min(Constants.UNWELL_MOST, unwell + 1);
-    healedAt = nowMs;
+  public void ticksDelayed(long nowMs) {
+    localHealth = Math.min(Constants.UNWELL_MOST, localHealth + 1);
+    healthChangedAt = nowMs;
   }
 
   // ---- verdicts ----
 
   /** Looks at everybody; called a few times a second. */
   public void tick(long nowMs) {
-    if (unwell > 0 && nowMs - healedAt >= Constants.HEAL_MS) {
-      unwell--;
-      healedAt = nowMs;
+    if (localHealth > 0 && nowMs - healthChangedAt >= Constants.HEAL_MS) {
+      localHealth--;
+      healthChangedAt = nowMs;
     }
-    peers.forEach((node, peer) -> judge(node, peer, nowMs));
-    long heard = peers.values().stream().filter(peer -> peer.trust == Trust.TRUSTED).count();
-    if (2 * heard < peers.size()) {
-      lonelyAt = nowMs;
+    peers.forEach((node, peer) -> evaluate(node, peer, nowMs));
+    long trusted = peers.values().stream().filter(peer -> peer.state == PeerState.TRUSTED).count();
+    if (2 * trusted < peers.size()) {
+      isolatedAt = nowMs;
     }
-    lonely = nowMs - lonelyAt < Constants.PEER_LOST_MS;
+    isolated = nowMs - isolatedAt < Constants.PEER_LOST_MS;
   }
 
-  private void judge(String node, Peer peer, long nowMs) {
+  private void evaluate(String node, Peer peer, long nowMs) {
     long silent = nowMs - peer.aliveAt;
-    if (peer.trust == Trust.TRUSTED && silent > suspectMs(peer)) {
-      peer.trust = Trust.SUSPECTED;
+    if (peer.state == PeerState.TRUSTED && silent > suspectAfterMs(peer)) {
+      peer.state = PeerState.SUSPECTED;
       LOG.info(
           "node {} is suspected: silent for {} ms, phi {}, {}, our health {}",
           node,
           silent,
           String.format("%.1f", peer.intervals.phi(silent)),
           peer.refused ? "refuses connections" : "its connections stand",
-          unwell);
+          localHealth);
     }
-    if (peer.trust == Trust.SUSPECTED) {
-      int suspectedToo = 1;
-      int refusedToo = peer.refused ? 1 : 0;
-      int lostToo = silent >= lostMs(peer) ? 1 : 0;
+    if (peer.state == PeerState.SUSPECTED) {
+      int suspecting = 1;
+      int refusing = peer.refused ? 1 : 0;
+      int missing = silent >= condemnAfterMs(peer) ? 1 : 0;
       for (Map.Entry<String, Peer> other : peers.entrySet()) {
-        Hearing hearing = hearing(other.getValue(), node);
-        if (hearing != null && other.getValue().trust == Trust.TRUSTED && hearing.suspected()) {
-          suspectedToo++;
-          refusedToo += hearing.refused() ? 1 : 0;
-          lostToo += hearing.silentMs() >= Constants.PEER_LOST_MS ? 1 : 0;
+        Hearing observation = observation(other.getValue(), node);
+        if (observation != null
+            && other.getValue().state == PeerState.TRUSTED
+            && observation.suspected()) {
+          suspecting++;
+          refusing += observation.refused() ? 1 : 0;
+          missing += observation.silentMs() >= Constants.PEER_LOST_MS ? 1 : 0;
         }
       }
-      boolean gone = most(refusedToo) && silent >= Constants.PEER_GONE_MS;
-      if (gone || (most(lostToo) && silent >= lostMs(peer))) {
-        peer.trust = Trust.CONDEMNED;
-        peer.gone = gone;
+      boolean ended = isMajority(refusing) && silent >= Constants.PEER_GONE_MS;
+      if (ended || (isMajority(missing) && silent >= condemnAfterMs(peer))) {
+        peer.state = PeerState.CONDEMNED;
+        peer.processEnded = ended;
         LOG.info(
             "node {} is condemned: silent for {} ms, suspected by {} and refusing {} of {}",
             node,
             silent,
-            suspectedToo,
-            refusedToo,
+            suspecting,
+            refusing,
             peers.size() + 1);
       }
     }
   }
 
-  private boolean most(int say) {
-    return 2 * say > peers.size() + 1;
+  private boolean isMajority(int votes) {
+    return 2 * votes > peers.size() + 1;
   }
 
   /** From so many milliseconds of silence on no pause explains it, by all that is learnt. */
-  private double lostMs(Peer peer) {
-    return Math.max(Constants.PEER_LOST_MS, suspectMs(peer));
+  private double condemnAfterMs(Peer peer) {
+    return Math.max(Constants.PEER_LOST_MS, suspectAfterMs(peer));
   }
 
-  private double suspectMs(Peer peer) {
+  private double suspectAfterMs(Peer peer) {
     // Whatever ails us, it is not we who refuse its connections.
-    return (peer.refused ? 1 : 1 + unwell) * peer.intervals.suspectMs(peer.refused);
+    return (peer.refused ? 1 : 1 + localHealth) * peer.intervals.suspectAfterMs(peer.refused);
   }
 
-  private static Hearing hearing(Peer from, String of) {
-    if (from.beat == null) {
+  private static Hearing observation(Peer from, String subject) {
+    if (from.heartbeat == null) {
       return null;
     }
-    for (Hearing hearing : from.beat.hearings()) {
-      if (hearing.node().equals(of)) {
-        return hearing;
+    for (Hearing observation : from.heartbeat.hearings()) {
+      if (observation.node().equals(subject)) {
+        return observation;
       }
     }
     return null;
@@ -228,9 +238,9 @@
   // ---- what is asked ----
 
   /** What is believed of a peer; ourselves we trust. */
-  public Trust trust(String node) {
+  public PeerState state(String node) {
     Peer peer = peers.get(node);
-    return peer == null ? Trust.TRUSTED : peer.trust;
+    return peer == null ? PeerState.TRUSTED : peer.state;
   }
 
   /** Milliseconds since the last sign of life of a peer. */
@@ -242,14 +252,14 @@
    * Whether a peer is condemned because most of us are refused by it: no pause and no cut looks
    * like that, and nobody who is gone can take anything back.
    */
-  boolean gone(String node) {
-    return trust(node) == Trust.CONDEMNED && peers.get(node).gone;
+  boolean hasEnded(String node) {
+    return state(node) == PeerState.CONDEMNED && peers.get(node).processEnded;
   }
 
   /** The last beat of a peer, or null. */
-  Beat beat(String node) {
+  Beat heartbeat(String node) {
     Peer peer = peers.get(node);
-    return peer == null ? null : peer.beat;
+    return peer == null ? null : peer.heartbeat;
   }
 
   /**
@@ -257,36 +267,36 @@
    * are in trouble. After a cut of ours the others are heard again one by one, and the last of them
    * has not failed.
    */
-  boolean lonely() {
-    return lonely;
+  boolean isIsolated() {
+    return isolated;
   }
 
   /** What we tell others of everybody. */
-  public List<Hearing> hearings(long nowMs) {
-    List<Hearing> hearings = new ArrayList<>(peers.size());
+  public List<Hearing> observations(long nowMs) {
+    List<Hearing> observations = new ArrayList<>(peers.size());
     peers.forEach(
         (node, peer) -> {
-          boolean suspected = peer.trust != Trust.TRUSTED;
-          hearings.add(
+          boolean suspected = peer.state != PeerState.TRUSTED;
+          observations.add(
               new Hearing(
                   node,
-                  Math.max(0, nowMs - peer.beatAt),
-                  peer.count(),
+                  Math.max(0, nowMs - peer.heartbeatAt),
+                  peer.refutations(),
                   suspected,
-                  suspected || rumoured(node, peer.count()),
+                  suspected || isSuspectedByPeer(node, peer.refutations()),
                   peer.refused));
         });
-    return hearings;
+    return observations;
   }
 
   /** Whether one that we trust suspects a peer, at a count no lower than we know. */
-  private boolean rumoured(String node, long count) {
+  private boolean isSuspectedByPeer(String node, long count) {
     for (Peer other : peers.values()) {
-      Hearing hearing = hearing(other, node);
-      if (other.trust == Trust.TRUSTED
-          && hearing != null
-          && hearing.suspected()
-          && hearing.count() >= count) {
+      Hearing observation = observation(other, node);
+      if (other.state == PeerState.TRUSTED
+          && observation != null
+          && observation.suspected()
+          && observation.count() >= count) {
         return true;
       }
     }
@@ -294,14 +304,14 @@
   }
 
   /** The highest count of ours at which somebody suspects us; -1: nobody does. */
-  long suspectedOurselves() {
-    long at = -1;
+  long highestSuspicionOfSelf() {
+    long highest = -1;
     for (Peer other : peers.values()) {
-      Hearing hearing = hearing(other, self);
-      if (other.trust == Trust.TRUSTED && hearing != null && hearing.rumoured()) {
-        at = Math.max(at, hearing.count());
+      Hearing observation = observation(other, self);
+      if (other.state == PeerState.TRUSTED && observation != null && observation.rumoured()) {
+        highest = Math.max(highest, observation.count());
       }
     }
-    return at;
+    return highest;
   }
 }
--- a/src/main/java/dunlincroft/membership/Intervals.java
+++ b/src/main/java/dunlincroft/membership/HeartbeatIntervals.java
@@ -9,14 +9,14 @@
  * a silence is. The estimate is the φ accrual detector's (Hayashibara, Défago, Yared, Katayama,
  * "The φ Accrual Failure Detector", 2004), with a normal distribution.
  */
-final class Intervals {
-  private static final double SILENT = deviations(Constants.SUSPECT_PHI);
-  private static final double REFUSED = deviations(Constants.REFUSED_PHI);
+final class HeartbeatIntervals {
+  private static final double SILENT_DEVIATIONS = standardDeviations(Constants.SUSPECT_PHI);
+  private static final double REFUSED_DEVIATIONS = standardDeviations(Constants.REFUSED_PHI);
 
   private final double[] window = new double[Constants.BEATS_KEPT];
   private int next;
 
-  Intervals() {
+  HeartbeatIntervals() {
     // Before anything is learnt: beats as asked for, now and then one that comes twice as late.
     Arrays.fill(window, Constants.LINK_BEAT_MS);
     for (int i = 0; i < window.length; i += 8) {
@@ -44,7 +44,7 @@
     return Math.max(Constants.BEAT_DEVIATION_MS, Math.sqrt(squares / window.length));
   }
 
-  private static double deviations(double phi) {
+  private static double standardDeviations(double phi) {
     return NormalDistribution.of(0, 1).inverseSurvivalProbability(Math.pow(10, -phi));
   }
 
@@ -52,15 +52,15 @@
    * Milliseconds of silence from which on the peer is suspected; less is enough of one that refuses
    * connections as well.
    */
-  double suspectMs(boolean refused) {
+  double suspectAfterMs(boolean refused) {
     double mean = mean();
-    return mean + (refused ? REFUSED : SILENT) * deviation(mean);
+    return mean + (refused ? REFUSED_DEVIATIONS : SILENT_DEVIATIONS) * deviation(mean);
   }
 
   /** Minus the decimal logarithm of how likely a peer that is well is silent for so long. */
   double phi(double silentMs) {
     double mean = mean();
-    double later = NormalDistribution.of(mean, deviation(mean)).survivalProbability(silentMs);
-    return later == 0 ? Double.POSITIVE_INFINITY : -Math.log10(later);
+    double survival = NormalDistribution.of(mean, deviation(mean)).survivalProbability(silentMs);
+    return survival == 0 ? Double.POSITIVE_INFINITY : -Math.log10(survival);
   }
 }
--- a/src/main/java/dunlincroft/membership/Leadership.java
+++ b/src/main/java/dunlincroft/membership/Leadership.java
@@ -12,41 +12,41 @@
 /** Who leads: the node that the leader's record names, as long as its hold lives. */
 final class Leadership {
   private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
-  private static final String ONE = "one";
+  private static final String RECORD_NAME = "one";
 
   /** A stamp that no key has. */
-  private static final long NOBODYS = Long.MAX_VALUE;
+  private static final long UNMATCHABLE_STAMP = Long.MAX_VALUE;
 
-  private final Local local;
-  private final Hold hold;
+  private final NodeContext context;
+  private final SessionLease sessionLease;
   private final FailureDetector detector;
-  private boolean electing;
-  private long seenAt;
+  private boolean isElecting;
+  private long leaderSeenAt;
 
-  Leadership(Local local, Hold hold, FailureDetector detector) {
-    this.local = local;
-    this.hold = hold;
+  Leadership(NodeContext context, SessionLease sessionLease, FailureDetector detector) {
+    this.context = context;
+    this.sessionLease = sessionLease;
     this.detector = detector;
   }
 
-  private Item item() {
-    return local.replica().get(Replica.LEADER, ONE);
+  private Item leaderRecord() {
+    return context.replica().get(Replica.LEADER, RECORD_NAME);
   }
 
-  boolean leads() {
-    return item() != null
-        && hold.incarnation() != 0
-        && item().data().path("name").asText().equals(local.name())
-        && item().data().path("incarnation").asLong() == hold.incarnation();
+  boolean isLeader() {
+    return leaderRecord() != null
+        && sessionLease.incarnation() != 0
+        && leaderRecord().data().path("name").asText().equals(context.name())
+        && leaderRecord().data().path("incarnation").asLong() == sessionLease.incarnation();
   }
 
   String leader() {
-    return item() == null ? null : item().data().path("name").asText(null);
+    return leaderRecord() == null ? null : leaderRecord().data().path("name").asText(null);
   }
 
   /** Stamp of the leader's record; 0 without one. */
   long stamp() {
-    return local.replica().stamp(Replica.LEADER, ONE);
+    return context.replica().stamp(Replica.LEADER, RECORD_NAME);
   }
 
   /**
@@ -54,12 +54,13 @@
    * record's stamp would be the present leader's, and a deposed one's late answers from the cloud
    * once became blocks under it, beside those that its successor made of the same machines.
    */
-  Txn asLeader(Txn txn) {
-    return txn.guard(Wire.key(Replica.LEADER, ONE), leads() ? stamp() : NOBODYS);
+  Txn guardAsLeader(Txn txn) {
+    return txn.guard(
+        Wire.key(Replica.LEADER, RECORD_NAME), isLeader() ? stamp() : UNMATCHABLE_STAMP);
   }
 
-  void stoodStill(long ms) {
-    seenAt = Math.min(local.now(), seenAt + ms);
+  void pauseDetected(long ms) {
+    leaderSeenAt = Math.min(context.now(), leaderSeenAt + ms);
   }
 
   /**
@@ -68,36 +69,39 @@
    * Who holds machines had better lead: it alone knows which of them are silent, sick or leaving,
    * and whoever rents without that rents too few.
    */
-  void tick(boolean holdsMachines) {
-    long now = local.now();
+  void tick(boolean ownsMachines) {
+    long now = context.now();
     String why = null;
-    if (item() != null) {
-      seenAt = now;
+    if (leaderRecord() != null) {
+      leaderSeenAt = now;
       String leader = leader();
-      if (local.name().equals(leader) && !leads()) {
+      if (context.name().equals(leader) && !isLeader()) {
         why = "we did before our restart";
-      } else if (holdsMachines && leader != null && detector.trust(leader) == Trust.CONDEMNED) {
+      } else if (ownsMachines && leader != null && detector.state(leader) == PeerState.CONDEMNED) {
         why = leader + " is condemned and we hold its machines";
       }
-    } else if (holdsMachines || now - seenAt >= Constants.ELECTION_DELAY_MS) {
+    } else if (ownsMachines || now - leaderSeenAt >= Constants.ELECTION_DELAY_MS) {
       why = "nobody does";
     }
-    if (electing || why == null) {
+    if (isElecting || why == null) {
       return;
     }
     String reason = why;
-    electing = true;
-    local
+    isElecting = true;
+    context
         .store()
         .commit(
             Urgency.HANDS,
             new Txn()
-                .guard(Wire.key(Replica.LEADER, ONE), stamp())
-                .put(Wire.key(Replica.LEADER, ONE), hold.me(), hold.tenancy()),
+                .guard(Wire.key(Replica.LEADER, RECORD_NAME), stamp())
+                .put(
+                    Wire.key(Replica.LEADER, RECORD_NAME),
+                    sessionLease.identity(),
+                    sessionLease.id()),
             result -> {
-              electing = false;
+              isElecting = false;
               if (result.ok()) {
-                LOG.info("node {} leads: {}", local.name(), reason);
+                LOG.info("node {} leads: {}", context.name(), reason);
               }
             });
   }
--- a/src/main/java/dunlincroft/membership/LowWatermark.java
+++ b/src/main/java/dunlincroft/membership/LowWatermark.java
@@ -35,79 +35,79 @@
 
   /** What is known of another controller. */
   private static final class Peer {
-    private long life;
+    private long instanceId;
 
-    private long formerLife;
+    private long formerInstanceId;
 
     /** When a beat of this life came first, and whether all that former lives told is known. */
-    private long since;
+    private long firstHeardAt;
 
-    private boolean formerKnown;
+    private boolean formerInstanceKnown;
 
     /** The newest beat of it: its clock, its revision, and when it came. */
     private long sentAt;
 
     private long revision;
-    private long heardAt;
-    private boolean outOfTouch;
+    private long lastHeardAt;
+    private boolean isDisconnected;
 
     /** All that it told up to here we know. */
     private long closedAt = Long.MIN_VALUE;
 
     /** From here on it promises to tell nothing more; {@link #NEVER} if it does not. */
-    private long promisedAt = NEVER;
+    private long suspendedAt = NEVER;
 
     /** The newest beat of ours that it has had: our clock as that left. */
-    private long hadOursOf = NEVER;
+    private long echoedAt = NEVER;
 
-    private long promisedUntil() {
-      return promisedAt == NEVER ? NEVER : promisedAt + Constants.PROMISE_MS;
+    private long suspendedUntil() {
+      return suspendedAt == NEVER ? NEVER : suspendedAt + Constants.PROMISE_MS;
     }
   }
 
   private final String self;
-  private final long life;
+  private final long instanceId;
 
   /** The last moment at which we promised to tell nothing more. */
-  private long promisedAt;
+  private long suspendedAt;
 
   private final Map<String, Peer> peers = new TreeMap<>();
 
   /** What we told of cancellations, by the revisions that say so; those of the highest are kept. */
-  private final TreeMap<Long, String> told = new TreeMap<>();
+  private final TreeMap<Long, String> acknowledged = new TreeMap<>();
 
   /** The highest revision of a cancellation that others handed to us. */
-  private long handed;
+  private long highestReceived;
 
   /** Below this not all that we told is remembered. */
-  private long forgotten;
+  private long forgottenUpTo;
 
   /**
-   * @param life a number that no other life of any controller has
-   * @param bornAt a moment no earlier than the beginning of this process, by its clock
+   * @param instanceId a number that no other life of any controller has
+   * @param startedAt a moment no earlier than the beginning of this process, by its clock
    */
-  LowWatermark(String self, long life, long bornAt, Collection<String> others) {
+  LowWatermark(String self, long instanceId, long startedAt, Collection<String> others) {
     this.self = self;
-    this.life = life;
-    promisedAt = bornAt;
+    this.instanceId = instanceId;
+    suspendedAt = startedAt;
     others.stream().filter(node -> !node.equals(self)).forEach(node -> peers.put(node, new Peer()));
   }
 
   // ---- what we tell ----
 
   /** Whether a user may be told of the cancellation that a revision says, for all we promised. */
-  boolean mayTell(long revision, long nowMs) {
-    return told.containsKey(revision)
-        || nowMs - promisedAt > Constants.PROMISE_MS + Constants.PROMISE_MARGIN_MS
-        || peers.values().stream().allMatch(peer -> peer.hadOursOf > promisedAt);
+  boolean canAcknowledge(long revision, long nowMs) {
+    return acknowledged.containsKey(revision)
+        || nowMs - suspendedAt > Constants.PROMISE_MS + Constants.PROMISE_MARGIN_MS
+        || peers.values().stream().allMatch(peer -> peer.echoedAt > suspendedAt);
   }
 
   /** A user is about to be told that a job is cancelled, as a revision says. */
-  void telling(String job, long revision) {
-    if (revision > forgotten) {
-      told.put(revision, job);
-      if (told.size() > Constants.TOLD_KEPT) {
-        forgotten = told.pollFirstEntry().getKey();
+  void recordAcknowledgement(String job, long revision) {
+    if (revision > forgottenUpTo) {
+      acknowledged.put(revision, job);
+      if (acknowledged.size() > Constants.TOLD_KEPT) {
+        forgottenUpTo = acknowledged.pollFirstEntry().getKey();
       }
     }
   }
@@ -116,28 +116,28 @@
    * Our word to the others. What they lack is handed on to those that say that they hear nothing
    * from the state service. If we have heard nothing from it for long, it is a promise.
    */
-  Told told(long nowMs, long revision, long stateSilentMs) {
-    if (promises(stateSilentMs)) {
-      promisedAt = nowMs;
+  Told createReport(long nowMs, long revision, long stateSilentMs) {
+    if (isSuspending(stateSilentMs)) {
+      suspendedAt = nowMs;
     }
-    long highest = told.isEmpty() ? forgotten : told.lastKey();
+    long highest = acknowledged.isEmpty() ? forgottenUpTo : acknowledged.lastKey();
     long above = highest;
     List<Echo> echoes = new ArrayList<>(peers.size());
     for (Map.Entry<String, Peer> entry : peers.entrySet()) {
       Peer peer = entry.getValue();
       if (peer.sentAt > 0) {
-        echoes.add(new Echo(entry.getKey(), peer.life, peer.sentAt));
+        echoes.add(new Echo(entry.getKey(), peer.instanceId, peer.sentAt));
       }
-      if (peer.outOfTouch && nowMs - peer.heardAt < Constants.HANDED_ON_MS) {
-        above = Math.min(above, Math.max(forgotten, peer.revision));
+      if (peer.isDisconnected && nowMs - peer.lastHeardAt < Constants.HANDED_ON_MS) {
+        above = Math.min(above, Math.max(forgottenUpTo, peer.revision));
       }
     }
-    List<Cancelled> handed = new ArrayList<>();
-    told.tailMap(above, false).forEach((at, job) -> handed.add(new Cancelled(job, at)));
-    return new Told(life, nowMs, echoes, revision, highest, above, handed);
+    List<Cancelled> handedOn = new ArrayList<>();
+    acknowledged.tailMap(above, false).forEach((at, job) -> handedOn.add(new Cancelled(job, at)));
+    return new Told(instanceId, nowMs, echoes, revision, highest, above, handedOn);
   }
 
-  private static boolean promises(long stateSilentMs) {
+  private static boolean isSuspending(long stateSilentMs) {
     return stateSilentMs > Constants.STALE_MS;
   }
 
@@ -148,66 +148,70 @@
    * was at {@code readAt}. Returns the cancellations that we lack, which count as known from here
    * on: the caller must act on them at once.
    */
-  List<Cancelled> heard(Beat beat, long nowMs, long revision, long readAt) {
-    Peer peer = peers.get(beat.node());
-    Told word = beat.told();
-    if (peer == null || word.life() == 0 || word.life() == peer.formerLife) {
+  List<Cancelled> heartbeatReceived(Beat heartbeat, long nowMs, long revision, long readAt) {
+    Peer peer = peers.get(heartbeat.node());
+    Told report = heartbeat.told();
+    if (peer == null || report.life() == 0 || report.life() == peer.formerInstanceId) {
       return List.of(); // Of a process that has ended: nothing rests on what comes late.
     }
-    if (peer.life != word.life()) {
-      peer.formerKnown = thereOrKnown(peer, readAt) && nowMs <= peer.promisedUntil();
-      if (peer.formerKnown) {
+    if (peer.instanceId != report.life()) {
+      peer.formerInstanceKnown =
+          isFormerHistoryKnown(peer, readAt) && nowMs <= peer.suspendedUntil();
+      if (peer.formerInstanceKnown) {
         // The promise still held, and the new life was bound by its own until we have heard it.
         peer.closedAt = Math.max(peer.closedAt, nowMs);
       }
-      peer.promisedAt = NEVER;
-      peer.formerLife = peer.life;
-      peer.life = word.life();
-      peer.since = nowMs;
+      peer.suspendedAt = NEVER;
+      peer.formerInstanceId = peer.instanceId;
+      peer.instanceId = report.life();
+      peer.firstHeardAt = nowMs;
       peer.sentAt = 0;
     }
-    boolean newest = word.sentAt() >= peer.sentAt;
-    peer.sentAt = Math.max(peer.sentAt, word.sentAt());
-    peer.revision = word.revision();
-    peer.heardAt = nowMs;
-    peer.outOfTouch = beat.stateSilentMs() > Constants.STALE_MS / 2;
-    boolean promises = promises(beat.stateSilentMs());
-    if (newest && !promises) {
-      peer.promisedAt = NEVER;
+    boolean isNewest = report.sentAt() >= peer.sentAt;
+    peer.sentAt = Math.max(peer.sentAt, report.sentAt());
+    peer.revision = report.revision();
+    peer.lastHeardAt = nowMs;
+    peer.isDisconnected = heartbeat.stateSilentMs() > Constants.STALE_MS / 2;
+    boolean suspends = isSuspending(heartbeat.stateSilentMs());
+    if (isNewest && !suspends) {
+      peer.suspendedAt = NEVER;
     }
-    boolean known = word.highest() <= revision || word.above() <= revision;
-    for (Echo echo : word.echoes()) {
-      if (echo.node().equals(self) && echo.life() == life) {
-        peer.hadOursOf = Math.max(peer.hadOursOf, echo.sentAt());
-        if (known && thereOrKnown(peer, readAt)) {
+    boolean isKnown = report.highest() <= revision || report.above() <= revision;
+    for (Echo echo : report.echoes()) {
+      if (echo.node().equals(self) && echo.life() == instanceId) {
+        peer.echoedAt = Math.max(peer.echoedAt, echo.sentAt());
+        if (isKnown && isFormerHistoryKnown(peer, readAt)) {
           peer.closedAt = Math.max(peer.closedAt, echo.sentAt());
-          if (newest && promises) {
-            peer.promisedAt = Math.max(peer.promisedAt, echo.sentAt());
+          if (isNewest && suspends) {
+            peer.suspendedAt = Math.max(peer.suspendedAt, echo.sentAt());
           }
         }
       }
     }
-    word.cancelled().forEach(each -> handed = Math.max(handed, each.revision()));
-    return word.cancelled().stream().filter(each -> each.revision() > revision).toList();
+    report
+        .cancelled()
+        .forEach(each -> highestReceived = Math.max(highestReceived, each.revision()));
+    return report.cancelled().stream().filter(each -> each.revision() > revision).toList();
   }
 
   /** Whether all that was told by processes of that name before the present one is known. */
-  private static boolean thereOrKnown(Peer peer, long readAt) {
-    return peer.life != 0 && (peer.since <= readAt || peer.formerKnown);
+  private static boolean isFormerHistoryKnown(Peer peer, long readAt) {
+    return peer.instanceId != 0 && (peer.firstHeardAt <= readAt || peer.formerInstanceKnown);
   }
 
   /** All is known up to {@code revision}; no cancellation known beyond it stands higher. */
-  long cancellationsUpTo(long revision) {
-    long told = this.told.isEmpty() ? forgotten : this.told.lastKey();
-    return Math.max(revision, Math.max(told, handed));
+  long highestKnownRevision(long revision) {
+    long highestAcknowledged =
+        this.acknowledged.isEmpty() ? forgottenUpTo : this.acknowledged.lastKey();
+    return Math.max(revision, Math.max(highestAcknowledged, highestReceived));
   }
 
   /** The watermark; all that there was at {@code readAt} is known. */
-  long at(long readAt, long nowMs) {
-    long closed = nowMs;
+  long value(long readAt, long nowMs) {
+    long minClosedAt = nowMs;
     for (Peer peer : peers.values()) {
-      closed = Math.min(closed, Math.max(peer.closedAt, peer.promisedUntil()));
+      minClosedAt = Math.min(minClosedAt, Math.max(peer.closedAt, peer.suspendedUntil()));
     }
-    return Math.max(readAt, closed);
+    return Math.max(readAt, minClosedAt);
   }
 }
--- a/src/main/java/dunlincroft/membership/Membership.java
+++ b/src/main/java/dunlincroft/membership/Membership.java
@@ -16,34 +16,37 @@
  * so that a takeover at any moment is safe, also from a node that is alive.
  */
 public final class Membership {
-  private final Local local;
+  private final NodeContext context;
   private final List<String> names;
-  private final Hold hold;
+  private final SessionLease sessionLease;
   private final FailureDetector detector;
-  private final Rates rates;
+  private final RateSharing rateSharing;
   private final LowWatermark watermark;
   private final Leadership leadership;
-  private final Leases leases;
-  private final Accusations accusations = new Accusations();
-  private final Custody custody;
-  private final Custodian custodian;
-  private long named;
+  private final BlockLeases blockLeases;
+  private final SuspicionReports suspicions = new SuspicionReports();
+  private final ShardOwnership ownership;
+  private final ShardListener listener;
+  private long nameCount;
   private long refutedAt;
 
-  public Membership(Local local, Custodian custodian) {
-    this.local = local;
-    this.custodian = custodian;
+  public Membership(NodeContext context, ShardListener listener) {
+    this.context = context;
+    this.listener = listener;
     TreeSet<String> all = new TreeSet<>();
-    local.settings().others().forEach(peer -> all.add(peer.node()));
-    detector = new FailureDetector(local.name(), all, local.now());
-    all.add(local.name());
+    context.settings().others().forEach(peer -> all.add(peer.node()));
+    detector = new FailureDetector(context.name(), all, context.now());
+    all.add(context.name());
     names = List.copyOf(all);
-    hold = new Hold(local);
-    watermark = new LowWatermark(local.name(), local.env().random().nextLong(), local.now(), names);
-    rates = new Rates(local, detector);
-    leadership = new Leadership(local, hold, detector);
-    leases = new Leases(local);
-    custody = new Custody(local, names, hold, detector, leases, accusations, custodian);
+    sessionLease = new SessionLease(context);
+    watermark =
+        new LowWatermark(context.name(), context.env().random().nextLong(), context.now(), names);
+    rateSharing = new RateSharing(context, detector);
+    leadership = new Leadership(context, sessionLease, detector);
+    blockLeases = new BlockLeases(context);
+    ownership =
+        new ShardOwnership(
+            context, names, sessionLease, detector, blockLeases, suspicions, listener);
   }
 
   /** All configured controllers, in order. */
@@ -53,32 +56,32 @@
 
   /** A name for a rental or a block that no controller ever gave before or will give again. */
   public String nextName() {
-    named++;
-    return local.name() + "-" + hold.incarnation() + "-" + named;
+    nameCount++;
+    return context.name() + "-" + sessionLease.incarnation() + "-" + nameCount;
   }
 
   // ---- the clockwork ----
 
   public void start() {
-    hold.start();
+    sessionLease.start();
   }
 
   /** Decides what this node should be and hold; called a few times a second. */
   public void tick() {
-    detector.tick(local.now());
+    detector.tick(context.now());
     refute();
-    if (local.feed().silentMs() > Constants.STALE_MS) {
+    if (context.feed().silentMs() > Constants.STALE_MS) {
       // Cut off ourselves, perhaps with our zone: that its workers do not reach a holder elsewhere
       // says nothing about the holder.
-      accusations.forgetAll();
+      suspicions.forgetAll();
       return;
     }
-    if (hold.tenancy() == 0 || !local.feed().synced()) {
+    if (sessionLease.id() == 0 || !context.feed().synced()) {
       return;
     }
-    hold.announce();
-    leadership.tick(holdsMachines());
-    custody.tick();
+    sessionLease.writeRecord();
+    leadership.tick(ownsMachines());
+    ownership.tick();
   }
 
   /**
@@ -86,34 +89,34 @@
    * whether it is, and says so in its record now and then, where links do not matter.
    */
   private void refute() {
-    long suspectedAt = detector.suspectedOurselves();
+    long suspectedAt = detector.highestSuspicionOfSelf();
     if (suspectedAt >= 0) {
-      hold.refute(suspectedAt);
-    } else if (detector.lonely()
-        && leases.holders().stream().anyMatch(custodian::holds)
-        && local.now() - refutedAt > Constants.REFUTE_MS) {
-      refutedAt = local.now();
-      hold.refute(hold.count());
+      sessionLease.refute(suspectedAt);
+    } else if (detector.isIsolated()
+        && blockLeases.currentShards().stream().anyMatch(listener::owns)
+        && context.now() - refutedAt > Constants.REFUTE_MS) {
+      refutedAt = context.now();
+      sessionLease.refute(sessionLease.refutations());
     }
   }
 
   /** Whether we hold a shard with machines, or nobody could. */
-  private boolean holdsMachines() {
-    List<String> holders = leases.holders();
-    return holders.isEmpty() || holders.stream().anyMatch(custodian::holds);
+  private boolean ownsMachines() {
+    List<String> shards = blockLeases.currentShards();
+    return shards.isEmpty() || shards.stream().anyMatch(listener::owns);
   }
 
   /** Peers could not be heard, and workers went elsewhere for our own silence's sake. */
-  public void stoodStill(long ms) {
-    detector.stoodStill(ms, local.now());
-    leadership.stoodStill(ms);
-    accusations.forgetAll();
-    custody.stoodStill();
+  public void pauseDetected(long ms) {
+    detector.pauseDetected(ms, context.now());
+    leadership.pauseDetected(ms);
+    suspicions.forgetAll();
+    ownership.pauseDetected();
   }
 
   /** Our own clockwork runs late, though it did not stand still. */
-  public void late() {
-    detector.late(local.now());
+  public void ticksDelayed() {
+    detector.ticksDelayed(context.now());
   }
 
   // ---- the link: advice only ----
@@ -122,38 +125,39 @@
    * What we tell the others, with the load that users put on us and the machines of ours that do
    * not serve.
    */
-  public Beat beat(Beat.Load load, List<String> silentMachines) {
-    long stateSilentMs = local.feed().silentMs();
+  public Beat heartbeat(Beat.Load load, List<String> silentMachines) {
+    long stateSilentMs = context.feed().silentMs();
     return new Beat(
-        local.name(),
-        hold.incarnation(),
+        context.name(),
+        sessionLease.incarnation(),
         stateSilentMs,
-        rates.wish().requests(),
-        rates.wish().writes(),
-        hold.count(),
-        detector.hearings(local.now()),
+        rateSharing.demand().requests(),
+        rateSharing.demand().writes(),
+        sessionLease.refutations(),
+        detector.observations(context.now()),
         load,
-        watermark.told(local.now(), local.replica().epoch(), stateSilentMs),
+        watermark.createReport(context.now(), context.replica().epoch(), stateSilentMs),
         silentMachines);
   }
 
   /** Machines that other controllers own and do not hear, as they tell. */
-  public Set<String> silentElsewhere() {
-    Set<String> silent = new HashSet<>();
+  public Set<String> silentMachinesOfPeers() {
+    Set<String> hosts = new HashSet<>();
     for (String name : names) {
-      Beat beat = name.equals(local.name()) ? null : detector.beat(name);
-      if (beat != null && detector.trust(name) == Trust.TRUSTED) {
-        silent.addAll(beat.silentMachines());
+      Beat heartbeat = name.equals(context.name()) ? null : detector.heartbeat(name);
+      if (heartbeat != null && detector.state(name) == PeerState.TRUSTED) {
+        hosts.addAll(heartbeat.silentMachines());
       }
     }
-    return silent;
+    return hosts;
   }
 
-  public void heard(Beat beat) {
-    detector.heard(beat, local.now());
+  public void heartbeatReceived(Beat heartbeat) {
+    detector.heartbeatReceived(heartbeat, context.now());
     watermark
-        .heard(beat, local.now(), local.replica().epoch(), local.feed().currentAt())
-        .forEach(cancelled -> custodian.cancelledElsewhere(cancelled.job()));
+        .heartbeatReceived(
+            heartbeat, context.now(), context.replica().epoch(), context.feed().currentAt())
+        .forEach(cancelled -> listener.cancelledByPeer(cancelled.job()));
   }
 
   // ---- cancellations ----
@@ -162,50 +166,50 @@
    * A user is to be told that a job is cancelled, as a revision says. Returns whether that may be:
    * not while the others go by our promise to tell of nothing more.
    */
-  public boolean tellCancelled(String job, long revision) {
-    boolean may = watermark.mayTell(revision, local.now());
-    if (may) {
-      watermark.telling(job, revision);
+  public boolean acknowledgeCancellation(String job, long revision) {
+    boolean isAllowed = watermark.canAcknowledge(revision, context.now());
+    if (isAllowed) {
+      watermark.recordAcknowledgement(job, revision);
     }
-    return may;
+    return isAllowed;
   }
 
   /**
    * Milliseconds since the moment up to which we know every cancellation that any user was told.
    */
-  public long unsureOfCancellationsMs() {
-    return local.now() - watermark.at(local.feed().currentAt(), local.now());
+  public long cancellationLagMs() {
+    return context.now() - watermark.value(context.feed().currentAt(), context.now());
   }
 
   /** No cancellation that is known to us stands at a higher revision. */
-  public long cancellationsUpTo() {
-    return watermark.cancellationsUpTo(local.replica().epoch());
+  public long highestCancellationRevision() {
+    return watermark.highestKnownRevision(context.replica().epoch());
   }
 
   /** A controller refuses our connections, or no longer does. */
-  public void refused(String node, boolean refused) {
-    detector.refused(node, refused);
+  public void connectionRefused(String node, boolean refused) {
+    detector.connectionRefused(node, refused);
   }
 
   public void shareRates() {
-    rates.tick();
+    rateSharing.tick();
   }
 
   /** What is believed of a controller. */
-  public Trust trust(String node) {
-    return detector.trust(node);
+  public PeerState peerState(String node) {
+    return detector.state(node);
   }
 
   /**
    * Whether no controller of a zone is heard, though most of those elsewhere are. Never so of our
    * own zone; of one without controllers it only says that we hear others well.
    */
-  public boolean onlySilent(String site) {
+  public boolean isOnlySilentZone(String zone) {
     int heard = 0;
     int silent = 0;
-    for (Settings.Peer peer : local.settings().others()) {
-      boolean trusted = detector.trust(peer.node()) == Trust.TRUSTED;
-      if (peer.site().equals(site)) {
+    for (Settings.Peer peer : context.settings().others()) {
+      boolean trusted = detector.state(peer.node()) == PeerState.TRUSTED;
+      if (peer.site().equals(zone)) {
         if (trusted) {
           return false;
         }
@@ -214,14 +218,14 @@
         silent += trusted ? 0 : 1;
       }
     }
-    return !site.equals(local.settings().site()) && heard >= silent;
+    return !zone.equals(context.settings().site()) && heard >= silent;
   }
 
   /** Milliseconds for which no controller of a zone was heard; 0 for a zone without others. */
-  public long silentMs(String site) {
-    return local.settings().others().stream()
-        .filter(peer -> peer.site().equals(site))
-        .mapToLong(peer -> detector.silentMs(peer.node(), local.now()))
+  public long zoneSilentMs(String zone) {
+    return context.settings().others().stream()
+        .filter(peer -> peer.site().equals(zone))
+        .mapToLong(peer -> detector.silentMs(peer.node(), context.now()))
         .min()
         .orElse(0);
   }
@@ -230,80 +234,82 @@
    * Whether we took a shard from a controller of that zone: cut off with it, it goes on answering
    * the workers there for a while.
    */
-  public boolean takenFrom(String shard, String site) {
-    String from = custody.takenFrom(shard);
-    return from != null && custody.siteOf(from).equals(site);
+  public boolean isAcquiredFrom(String shard, String zone) {
+    String from = ownership.previousOwner(shard);
+    return from != null && ownership.zoneOf(from).equals(zone);
   }
 
   /**
    * Whether a controller that we hear has had its hold already, so that it may serve users. One
    * that has just begun has not.
    */
-  public boolean othersAtWork() {
-    return local.settings().others().stream()
+  public boolean hasActivePeers() {
+    return context.settings().others().stream()
         .map(Settings.Peer::node)
         .anyMatch(
             peer ->
-                detector.trust(peer) == Trust.TRUSTED
-                    && detector.beat(peer) != null
-                    && detector.beat(peer).incarnation() != 0);
+                detector.state(peer) == PeerState.TRUSTED
+                    && detector.heartbeat(peer) != null
+                    && detector.heartbeat(peer).incarnation() != 0);
   }
 
   /** Every other controller says, right now, that it too hears nothing from the state service. */
-  public boolean allOutOfTouch() {
-    return local.settings().others().stream()
+  public boolean areAllPeersDisconnected() {
+    return context.settings().others().stream()
         .map(Settings.Peer::node)
         .allMatch(
             peer ->
-                detector.trust(peer) == Trust.TRUSTED
-                    && detector.beat(peer) != null
-                    && detector.beat(peer).stateSilentMs() > Constants.STALE_MS / 2);
+                detector.state(peer) == PeerState.TRUSTED
+                    && detector.heartbeat(peer) != null
+                    && detector.heartbeat(peer).stateSilentMs() > Constants.STALE_MS / 2);
   }
 
   /**
    * Whether the state service seems to be down for all and not for us alone: others are heard, and
    * none of them that has its hold says that it hears it.
    */
-  public boolean outageIsCommon() {
+  public boolean isCommonOutage() {
     List<String> heard =
-        local.settings().others().stream()
+        context.settings().others().stream()
             .map(Settings.Peer::node)
-            .filter(peer -> detector.trust(peer) == Trust.TRUSTED && detector.beat(peer) != null)
+            .filter(
+                peer ->
+                    detector.state(peer) == PeerState.TRUSTED && detector.heartbeat(peer) != null)
             .toList();
-    return !heard.isEmpty() && heard.stream().noneMatch(this::inTouch);
+    return !heard.isEmpty() && heard.stream().noneMatch(this::isConnected);
   }
 
-  private boolean inTouch(String peer) {
-    Beat beat = detector.beat(peer);
-    return beat.incarnation() != 0 && beat.stateSilentMs() <= Constants.STALE_MS / 2;
+  private boolean isConnected(String peer) {
+    Beat heartbeat = detector.heartbeat(peer);
+    return heartbeat.incarnation() != 0 && heartbeat.stateSilentMs() <= Constants.STALE_MS / 2;
   }
 
   // ---- records ----
 
   /** A record changed. */
-  public void changed(String kind, String name) {
+  public void recordChanged(String kind, String name) {
     switch (kind) {
-      case Replica.SHARDS -> custody.changed(name);
+      case Replica.SHARDS -> ownership.recordChanged(name);
       case Replica.CONTROLLERS -> {
-        if (local.replica().get(kind, name) != null) {
-          wrote(name);
+        if (context.replica().get(kind, name) != null) {
+          recordWritten(name);
         }
       }
-      case Replica.LOGS -> wrote(custody.holderOf(name.substring(0, name.indexOf('/'))));
+      case Replica.LOGS -> recordWritten(ownership.ownerOf(name.substring(0, name.indexOf('/'))));
       default -> {}
     }
   }
 
-  private void wrote(String node) {
-    if (node != null && local.feed().synced()) {
-      detector.wrote(node, local.now());
+  private void recordWritten(String node) {
+    if (node != null && context.feed().synced()) {
+      detector.recordWritten(node, context.now());
     }
   }
 
   // ---- leadership and leases ----
 
-  public boolean leads() {
-    return leadership.leads();
+  public boolean isLeader() {
+    return leadership.isLeader();
   }
 
   public String leader() {
@@ -316,68 +322,69 @@
   }
 
   /** Adds the guard under which a leader writes. */
-  public Txn asLeader(Txn txn) {
-    return leadership.asLeader(txn);
+  public Txn guardAsLeader(Txn txn) {
+    return leadership.guardAsLeader(txn);
   }
 
   /** Stamp of the leases' record: it changes with every renewal. */
   public long leaseStamp() {
-    return leases.stamp();
+    return blockLeases.stamp();
   }
 
   /** Shards that blocks are leased to at present; jobs are shared out among them. */
-  public List<String> leaseHolders() {
-    return leases.holders();
+  public List<String> leasedShards() {
+    return blockLeases.currentShards();
   }
 
   /** The owner of a new job: the lease holder that the hash of its id and name favours. */
-  public String ownerOf(String job) {
-    return leases.ownerOf(job);
+  public String shardForJob(String job) {
+    return blockLeases.shardForJob(job);
   }
 
   /** The leader renews the leases, for so many machines, and one holder for each so many. */
-  public void renewLeases(int machines, int machinesEach) {
-    leases.renew(asLeader(new Txn()), names, machines, machinesEach);
+  public void renewLeases(int machines, int machinesPerShard) {
+    blockLeases.renew(guardAsLeader(new Txn()), names, machines, machinesPerShard);
   }
 
   // ---- shards and workers ----
 
   /** The controller that a shard's record names, or null. */
-  public String holderOf(String shard) {
-    return custody.holderOf(shard);
+  public String ownerOf(String shard) {
+    return ownership.ownerOf(shard);
   }
 
   /** Whether the life of another controller that a shard's record names is there, as we hear it. */
-  public boolean holderActs(String shard) {
-    String holder = custody.holderOf(shard);
-    if (holder == null || holder.equals(local.name()) || detector.beat(holder) == null) {
+  public boolean isOwnerAlive(String shard) {
+    String owner = ownership.ownerOf(shard);
+    if (owner == null || owner.equals(context.name()) || detector.heartbeat(owner) == null) {
       return false;
     }
-    long recorded = local.replica().get(Replica.SHARDS, shard).data().path("incarnation").asLong();
-    return detector.trust(holder) == Trust.TRUSTED
-        && detector.beat(holder).incarnation() == recorded;
+    long recorded =
+        context.replica().get(Replica.SHARDS, shard).data().path("incarnation").asLong();
+    return detector.state(owner) == PeerState.TRUSTED
+        && detector.heartbeat(owner).incarnation() == recorded;
   }
 
   /** Whether a shard is about to change hands, or has come to us and we do not act for it yet. */
-  public boolean unsettled(String shard) {
-    return custody.unsettled(shard);
+  public boolean isOwnerChanging(String shard) {
+    return ownership.isOwnerChanging(shard);
   }
 
   /**
    * A worker whose machine another node holds came to us and is being sent there. Returns whether
    * it may accuse that one: then it must be asked, as it may be the worker that does not hear.
    */
-  public boolean strayed(String host, String shard) {
-    String holder = custody.holderOf(shard);
+  public boolean recordRedirect(String host, String shard) {
+    String owner = ownership.ownerOf(shard);
     // Who hears hardly anybody has no right to suspect one: then the worker must come again.
     boolean suspected =
-        holder != null && detector.trust(holder) != Trust.TRUSTED && !detector.lonely();
-    return accusations.strayed(host, suspected, local.now())
-        && accusations.against(shard, local.now()) < Constants.ACCUSE_COUNT;
+        owner != null && detector.state(owner) != PeerState.TRUSTED && !detector.isIsolated();
+    return suspicions.recordRedirect(host, suspected, context.now())
+        && suspicions.count(shard, context.now()) < Constants.ACCUSE_COUNT;
   }
 
   /** A worker that answered us does not reach its holder. */
-  public void accuse(String host, String shard) {
-    accusations.accuse(host, shard, local.now());
+  public void reportUnreachable(String host, String shard) {
+    suspicions.reportUnreachable(host, shard, context.now());
   }
 }
--- a/src/main/java/dunlincroft/membership/Local.java
+++ b/src/main/java/dunlincroft/membership/NodeContext.java
@@ -7,7 +7,8 @@
 import dunlincroft.transport.Env;
 
 /** What membership works with at one node: settings, clocks, the state service and its replica. */
-public record Local(Settings settings, Env env, StateStore store, Replica replica, Feed feed) {
+public record NodeContext(
+    Settings settings, Env env, StateStore store, Replica replica, Feed feed) {
   String name() {
     return settings.node();
   }
--- a/src/main/java/dunlincroft/membership/Trust.java
+++ b/src/main/java/dunlincroft/membership/PeerState.java
@@ -1,7 +1,7 @@
 package dunlincroft.membership;
 
 /** How far a controller is believed to be there. */
-public enum Trust {
+public enum PeerState {
   /** Heard as regularly as ever. */
   TRUSTED,
   /** Silent for longer than it ever is: successors make ready. It may refute that. */
--- a/src/main/java/dunlincroft/membership/Hold.java
+++ b/src/main/java/dunlincroft/membership/SessionLease.java
@@ -14,25 +14,25 @@
 import org.slf4j.LoggerFactory;
 
 /** This node's hold at the state service, and the record that is tied to it. */
-final class Hold {
-  private static final Logger LOG = LoggerFactory.getLogger(Hold.class);
+final class SessionLease {
+  private static final Logger LOG = LoggerFactory.getLogger(SessionLease.class);
 
-  private final Local local;
-  private long tenancy;
+  private final NodeContext context;
+  private long id;
   private long incarnation;
 
   /** How often we refuted a suspicion; of two messages of ours the one with more is the newer. */
-  private long count;
+  private long refutations;
 
-  private boolean announcing;
+  private boolean isWriting;
 
-  Hold(Local local) {
-    this.local = local;
+  SessionLease(NodeContext context) {
+    this.context = context;
   }
 
   /** The hold that our records are tied to; 0 while there is none. */
-  long tenancy() {
-    return tenancy;
+  long id() {
+    return id;
   }
 
   /** A number that no other life of any node has; 0 before the first hold. */
@@ -40,87 +40,89 @@
     return incarnation;
   }
 
-  long count() {
-    return count;
+  long refutations() {
+    return refutations;
   }
 
   /** Somebody suspects us who knows of {@code known} refutations: we say more. */
-  void refute(long known) {
-    if (known >= count) {
-      count = known + 1;
-      LOG.info("node {} is suspected by others: it refutes, count {}", local.name(), count);
+  void refute(long knownRefutations) {
+    if (knownRefutations >= refutations) {
+      refutations = knownRefutations + 1;
+      LOG.info("node {} is suspected by others: it refutes, count {}", context.name(), refutations);
     }
   }
 
   void start() {
-    local
+    context
         .store()
         .hold(
             answer -> {
               try {
                 if (answer.status() == 200) {
-                  tenancy = Fields.count(answer.body(), "tenancy");
+                  id = Fields.count(answer.body(), "tenancy");
                   if (incarnation == 0) {
-                    incarnation = tenancy;
-                    LOG.info("node {} is incarnation {}", local.name(), incarnation);
+                    incarnation = id;
+                    LOG.info("node {} is incarnation {}", context.name(), incarnation);
                   }
-                  local.env().after(Constants.HOLD_TOUCH_MS, this::touch);
+                  context.env().after(Constants.HOLD_TOUCH_MS, this::renew);
                   return;
                 }
               } catch (Malformed e) {
                 LOG.info("hold: {}", e.getMessage());
               }
-              local.env().after(Constants.HOLD_RETRY_MS, this::start);
+              context.env().after(Constants.HOLD_RETRY_MS, this::start);
             });
   }
 
-  private void touch() {
-    local
+  private void renew() {
+    context
         .store()
         .touch(
-            tenancy,
+            id,
             answer -> {
               if (answer.status() == 404) {
-                LOG.info("our hold {} has ended; taking a new one", tenancy);
-                tenancy = 0;
+                LOG.info("our hold {} has ended; taking a new one", id);
+                id = 0;
                 start();
               } else {
-                boolean ok = answer.status() == 200;
-                local
+                boolean isRenewed = answer.status() == 200;
+                context
                     .env()
-                    .after(ok ? Constants.HOLD_TOUCH_MS : Constants.HOLD_RETRY_MS, this::touch);
+                    .after(
+                        isRenewed ? Constants.HOLD_TOUCH_MS : Constants.HOLD_RETRY_MS, this::renew);
               }
             });
   }
 
   /** Our name and incarnation, as records say who wrote them. */
-  ObjectNode me() {
-    return Cbor.map().put("name", local.name()).put("incarnation", incarnation);
+  ObjectNode identity() {
+    return Cbor.map().put("name", context.name()).put("incarnation", incarnation);
   }
 
   /** Keeps the record of our being there: it names our hold, and our last refutation. */
-  void announce() {
-    Item item = local.replica().get(Replica.CONTROLLERS, local.name());
-    boolean current =
+  void writeRecord() {
+    Item item = context.replica().get(Replica.CONTROLLERS, context.name());
+    boolean isCurrent =
         item != null
-            && item.data().path("tenancy").asLong() == tenancy
-            && item.data().path("count").asLong() == count;
-    if (current || announcing) {
+            && item.data().path("tenancy").asLong() == id
+            && item.data().path("count").asLong() == refutations;
+    if (isCurrent || isWriting) {
       return;
     }
-    announcing = true;
-    local
+    isWriting = true;
+    context
         .store()
         .commit(
             Urgency.HOLD,
             // Guarded, so that one that is carried out late does not tie the record to an older
             // hold.
             new Txn()
-                .guard(Wire.key(Replica.CONTROLLERS, local.name()), item == null ? 0 : item.stamp())
+                .guard(
+                    Wire.key(Replica.CONTROLLERS, context.name()), item == null ? 0 : item.stamp())
                 .put(
-                    Wire.key(Replica.CONTROLLERS, local.name()),
-                    me().put("tenancy", tenancy).put("count", count),
-                    tenancy),
-            result -> announcing = false);
+                    Wire.key(Replica.CONTROLLERS, context.name()),
+                    identity().put("tenancy", id).put("count", refutations),
+                    id),
+            result -> isWriting = false);
   }
 }
--- a/src/main/java/dunlincroft/membership/Succession.java
+++ b/src/main/java/dunlincroft/membership/Succession.java
@@ -15,7 +15,7 @@
  */
 final class Succession {
   /** A controller that could succeed: its zone, and how many leased shards it has already. */
-  record Candidate(String node, String site, int leased) {}
+  record Candidate(String node, String zone, int leased) {}
 
   private Succession() {}
 
@@ -26,14 +26,14 @@
    * the hash of shard and name decides between equals.
    */
   static Map<String, List<String>> plan(
-      Collection<String> shards, String failedSite, Collection<Candidate> candidates) {
+      Collection<String> shards, String failedZone, Collection<Candidate> candidates) {
     Map<String, Integer> load = new HashMap<>();
     candidates.forEach(candidate -> load.put(candidate.node(), candidate.leased()));
     Map<String, List<String>> plan = new LinkedHashMap<>();
     for (String shard : shards) {
       List<Candidate> order = new ArrayList<>(candidates);
       order.sort(
-          Comparator.comparing((Candidate candidate) -> candidate.site().equals(failedSite))
+          Comparator.comparing((Candidate candidate) -> candidate.zone().equals(failedZone))
               .thenComparing(candidate -> load.get(candidate.node()))
               .thenComparing(candidate -> Hashing.of(shard + "|" + candidate.node()))
               .thenComparing(Candidate::node));
--- a/src/test/java/dunlincroft/admission/Crowd.java
+++ b/src/test/java/dunlincroft/admission/UserSimulation.java
@@ -17,13 +17,13 @@
  * each of which can accept so many submissions a second. An experiment by its {@link #main}, and
  * what AdmissionTest plays.
  */
-final class Crowd {
+final class UserSimulation {
   /** Who lets users in. */
-  enum Way {
+  enum Policy {
     /** What this version does. */
-    PLANNED,
+    SHARED_PLAN,
     /** First come, first served; who finds no budget comes again after a second. */
-    FIRST_COME,
+    FIRST_COME_FIRST_SERVED,
     /** Let in at random, as often as the budget bears. */
     RANDOM
   }
@@ -34,34 +34,36 @@
   /** One submission. */
   private final class User {
     private final String job;
-    private final Flow flow;
-    private final long since = clock.now();
+    private final TrafficClass trafficClass;
+    private final long submittedAt = clock.now();
 
-    User(String job, Flow flow) {
+    User(String job, TrafficClass trafficClass) {
       this.job = job;
-      this.flow = flow;
+      this.trafficClass = trafficClass;
     }
 
-    void ask() {
+    void submit() {
       int node = random.nextInt(nodes.size());
-      if (!up.test(node)) {
+      if (!isUp.test(node)) {
         refused++;
-        again(1);
+        retryAfter(1);
         return;
       }
       nodes.get(node).offer(this);
     }
 
-    void again(int seconds) {
-      if (clock.now() + 1000L * seconds - since > GIVE_UP_MS) {
-        lost.merge(flow, 1, Integer::sum);
+    void retryAfter(int seconds) {
+      if (clock.now() + 1000L * seconds - submittedAt > GIVE_UP_MS) {
+        abandoned.merge(trafficClass, 1, Integer::sum);
       } else {
-        clock.after(1000L * seconds + random.nextInt(20), this::ask);
+        clock.after(1000L * seconds + random.nextInt(20), this::submit);
       }
     }
 
     void accepted() {
-      waits.computeIfAbsent(flow, f -> new ArrayList<>()).add(clock.now() - since);
+      waitTimes
+          .computeIfAbsent(trafficClass, f -> new ArrayList<>())
+          .add(clock.now() - submittedAt);
     }
   }
 
@@ -82,28 +84,29 @@
     }
 
     void offer(User user) {
-      if (way == Way.PLANNED) {
-        Admission.Verdict verdict = admission.offer(user.job, user.flow, waitMs(), clock.now());
+      if (policy == Policy.SHARED_PLAN) {
+        Admission.Verdict verdict =
+            admission.offer(user.job, user.trafficClass, waitMs(), clock.now());
         if (verdict.admitted() && waitMs() <= Constants.BUDGET_WAIT_MS) {
           queue.add(user);
         } else {
           refused++;
-          user.again(
+          user.retryAfter(
               verdict.admitted()
-                  ? admission.again(user.job, user.flow, clock.now())
+                  ? admission.retryLater(user.job, user.trafficClass, clock.now())
                   : verdict.retryAfterS());
         }
         return;
       }
-      boolean in =
-          way == Way.FIRST_COME
+      boolean isAdmitted =
+          policy == Policy.FIRST_COME_FIRST_SERVED
               ? waitMs() <= Constants.ANSWER_MS
               : random.nextDouble() * (1 + waitMs()) < Constants.ANSWER_MS;
-      if (in) {
+      if (isAdmitted) {
         queue.add(user);
       } else {
         refused++;
-        user.again(1);
+        user.retryAfter(1);
       }
     }
 
@@ -112,7 +115,7 @@
       while (!queue.isEmpty() && budget >= 1) {
         budget--;
         User user = queue.remove(0);
-        admission.settled(user.job, user.flow);
+        admission.settled(user.job, user.trafficClass);
         user.accepted();
       }
     }
@@ -121,29 +124,29 @@
   final VirtualClock clock = new VirtualClock();
   final Random random;
   private final List<Node> nodes = new ArrayList<>();
-  private final Way way;
+  private final Policy policy;
 
   /** Acceptances a second of each controller. */
   double rate;
 
-  IntPredicate up = node -> true;
-  boolean linked = true;
+  IntPredicate isUp = node -> true;
+  boolean isLinked = true;
   final Map<String, Double> weights = new LinkedHashMap<>();
-  final Map<Flow, List<Long>> waits = new LinkedHashMap<>();
-  final Map<Flow, Integer> came = new LinkedHashMap<>();
-  final Map<Flow, Integer> lost = new LinkedHashMap<>();
+  final Map<TrafficClass, List<Long>> waitTimes = new LinkedHashMap<>();
+  final Map<TrafficClass, Integer> submitted = new LinkedHashMap<>();
+  final Map<TrafficClass, Integer> abandoned = new LinkedHashMap<>();
   int refused;
   private int users;
 
-  Crowd(Way way, int controllers, double capacity, long seed) {
-    this.way = way;
+  UserSimulation(Policy policy, int controllers, double capacity, long seed) {
+    this.policy = policy;
     this.rate = capacity / controllers;
     this.random = new Random(seed);
     for (int i = 0; i < controllers; i++) {
       nodes.add(new Node(i));
     }
     step();
-    beat();
+    exchangeLoads();
   }
 
   private void step() {
@@ -151,95 +154,99 @@
     clock.after(STEP_MS, this::step);
   }
 
-  private void beat() {
+  private void exchangeLoads() {
     for (Node node : nodes) {
       node.admission.tick(rate, clock.now());
       Beat.Load load = node.admission.load(clock.now());
       for (Node other : nodes) {
-        if (other != node && linked) {
+        if (other != node && isLinked) {
           clock.after(
-              1 + random.nextInt(30), () -> other.admission.heard(node.name, load, clock.now()));
+              1 + random.nextInt(30),
+              () -> other.admission.loadReceived(node.name, load, clock.now()));
         }
       }
     }
-    clock.after(Constants.LINK_BEAT_MS, this::beat);
+    clock.after(Constants.LINK_BEAT_MS, this::exchangeLoads);
   }
 
   /** Submissions of a flow at random moments, so many a second, until {@code untilMs}. */
-  void offer(Flow flow, double perSecond, long untilMs) {
+  void offer(TrafficClass trafficClass, double perSecond, long untilMs) {
     long gap = (long) Math.max(1, -Math.log(1 - random.nextDouble()) * 1000 / perSecond);
     clock.after(
         gap,
         () -> {
           if (clock.now() < untilMs) {
-            came.merge(flow, 1, Integer::sum);
-            new User("run-" + users++, flow).ask();
-            offer(flow, perSecond, untilMs);
+            submitted.merge(trafficClass, 1, Integer::sum);
+            new User("run-" + users++, trafficClass).submit();
+            offer(trafficClass, perSecond, untilMs);
           }
         });
   }
 
   /** Many at one moment. */
-  void rush(Flow flow, int number) {
+  void burst(TrafficClass trafficClass, int number) {
     for (int i = 0; i < number; i++) {
-      came.merge(flow, 1, Integer::sum);
-      new User("run-" + users++, flow).ask();
+      submitted.merge(trafficClass, 1, Integer::sum);
+      new User("run-" + users++, trafficClass).submit();
     }
   }
 
-  int accepted(Flow flow) {
-    return waits.getOrDefault(flow, List.of()).size();
+  int accepted(TrafficClass trafficClass) {
+    return waitTimes.getOrDefault(trafficClass, List.of()).size();
   }
 
   int accepted() {
-    return waits.values().stream().mapToInt(List::size).sum();
+    return waitTimes.values().stream().mapToInt(List::size).sum();
   }
 
   /** Share of a flow's submissions that were accepted in the end. */
-  double served(Flow flow) {
-    return accepted(flow) / (double) came.get(flow);
+  double servedFraction(TrafficClass trafficClass) {
+    return accepted(trafficClass) / (double) submitted.get(trafficClass);
   }
 
-  long percentile(double part) {
-    long[] all = waits.values().stream().flatMap(List::stream).mapToLong(Long::longValue).toArray();
+  long percentile(double fraction) {
+    long[] all =
+        waitTimes.values().stream().flatMap(List::stream).mapToLong(Long::longValue).toArray();
     Arrays.sort(all);
-    return all.length == 0 ? 0 : all[(int) (part * (all.length - 1))];
+    return all.length == 0 ? 0 : all[(int) (fraction * (all.length - 1))];
   }
 
   /** The table of docs/admission.md: ways, controllers and load. Simulated users. */
   public static void main(String[] args) {
     System.out.println(
         "way,controllers,load,throughput,refusals_each,p95_s,worst_team,worst_class");
-    for (Way way : Way.values()) {
+    for (Policy policy : Policy.values()) {
       for (int controllers : new int[] {1, 3, 5}) {
         for (double load : new double[] {0.5, 0.9, 1, 2, 10}) {
-          Crowd crowd = new Crowd(way, controllers, 30, 1);
-          Flow[] flows = new Flow[8];
-          for (int i = 0; i < flows.length; i++) {
+          UserSimulation simulation = new UserSimulation(policy, controllers, 30, 1);
+          TrafficClass[] classes = new TrafficClass[8];
+          for (int i = 0; i < classes.length; i++) {
             // One team in four asks for seven times as much as each other one.
-            flows[i] = new Flow("t" + i / 2, "c" + i % 2, i % 2 == 0);
-            crowd.offer(flows[i], 30 * load / 20 * (i < 2 ? 7 : 1), 200_000);
+            classes[i] = new TrafficClass("t" + i / 2, "c" + i % 2, i % 2 == 0);
+            simulation.offer(classes[i], 30 * load / 20 * (i < 2 ? 7 : 1), 200_000);
           }
-          crowd.clock.runUntil(200_000);
+          simulation.clock.runUntil(200_000);
           double worstTeam = 1;
           double worstClass = 1;
-          for (int i = 0; i < flows.length; i++) {
-            worstClass = Math.min(worstClass, crowd.served(flows[i]));
+          for (int i = 0; i < classes.length; i++) {
+            worstClass = Math.min(worstClass, simulation.servedFraction(classes[i]));
             if (i % 2 == 0) {
-              int in = crowd.accepted(flows[i]) + crowd.accepted(flows[i + 1]);
-              int all = crowd.came.get(flows[i]) + crowd.came.get(flows[i + 1]);
-              worstTeam = Math.min(worstTeam, in / (double) all);
+              int acceptedCount =
+                  simulation.accepted(classes[i]) + simulation.accepted(classes[i + 1]);
+              int total =
+                  simulation.submitted.get(classes[i]) + simulation.submitted.get(classes[i + 1]);
+              worstTeam = Math.min(worstTeam, acceptedCount / (double) total);
             }
           }
           System.out.printf(
               Locale.ROOT,
               "%s,%d,%.1f,%.3f,%.2f,%.1f,%.3f,%.3f%n",
-              way,
+              policy,
               controllers,
               load,
-              crowd.accepted() / (200.0 * 30 * Math.min(1, load)),
-              crowd.refused / (double) crowd.accepted(),
-              crowd.percentile(0.95) / 1000.0,
+              simulation.accepted() / (200.0 * 30 * Math.min(1, load)),
+              simulation.refused / (double) simulation.accepted(),
+              simulation.percentile(0.95) / 1000.0,
               worstTeam,
               worstClass);
         }
--- a/src/test/java/dunlincroft/limits/SharePlanTest.java
+++ b/src/test/java/dunlincroft/limits/SharePlanTest.java
@@ -17,37 +17,38 @@
  */
 class SharePlanTest {
   private static final List<String> SHARDS = List.of("n0", "n1", "n2");
-  private static final int MOST_PART = 3;
+  private static final int MAX_PART = 3;
   private static final int[] TASKS = {0, 1, 2, 4};
 
   /** A gift of each giver at most for each claim, and one for headroom. */
-  private static final int MOST_STEPS = 6;
+  private static final int MAX_STEPS = 6;
 
   private static Room cpus(long cpus) {
     return new Room(cpus, 0, 0);
   }
 
-  private static long sum(Map<String, Room> rooms) {
-    return rooms.values().stream().mapToLong(Room::cpu).sum();
+  private static long sum(Map<String, Room> resources) {
+    return resources.values().stream().mapToLong(Room::cpu).sum();
   }
 
   /** A state: what each shard has and uses, and one claim for each that waits. */
-  private record State(Map<String, Room> parts, Map<String, Room> used, List<Claim> claims) {
+  private record State(
+      Map<String, Room> parts, Map<String, Room> used, List<ShareRequest> requests) {
     List<Transfer> plan() {
       Map<String, Room> work = new HashMap<>(used);
-      claims.forEach(claim -> work.merge(claim.shard(), claim.task(), Room::plus));
-      return SharePlan.transfers(parts, used, work, claims);
+      requests.forEach(request -> work.merge(request.shard(), request.taskResources(), Room::plus));
+      return SharePlan.transfers(parts, used, work, requests);
     }
 
-    State after(String giver) {
+    State after(String source) {
       Map<String, Room> next = new TreeMap<>(parts);
       for (Transfer transfer : plan()) {
-        if (transfer.from().equals(giver)) {
-          next.merge(giver, transfer.room(), Room::minus);
-          next.merge(transfer.to(), transfer.room(), Room::plus);
+        if (transfer.from().equals(source)) {
+          next.merge(source, transfer.amount(), Room::minus);
+          next.merge(transfer.to(), transfer.amount(), Room::plus);
         }
       }
-      return new State(next, used, claims);
+      return new State(next, used, requests);
     }
 
     long unused(String shard) {
@@ -55,9 +56,9 @@
     }
   }
 
-  private static List<State> all() {
+  private static List<State> allStates() {
     List<State> states = new ArrayList<>();
-    int parts = MOST_PART + 1;
+    int parts = MAX_PART + 1;
     for (int split = 0; split < parts * parts * parts; split++) {
       for (int use = 0; use < 8; use++) {
         for (int wait = 0; wait < TASKS.length * TASKS.length * TASKS.length; wait++) {
@@ -74,9 +75,9 @@
   private static State state(int split, int use, int wait) {
     Map<String, Room> parts = new TreeMap<>();
     Map<String, Room> used = new TreeMap<>();
-    List<Claim> claims = new ArrayList<>();
+    List<ShareRequest> requests = new ArrayList<>();
     for (String shard : SHARDS) {
-      int part = split % (MOST_PART + 1);
+      int part = split % (MAX_PART + 1);
       int uses = use % 2;
       int task = TASKS[wait % TASKS.length];
       if (uses > part) {
@@ -85,68 +86,69 @@
       parts.put(shard, cpus(part));
       used.put(shard, cpus(uses));
       if (task > 0) {
-        claims.add(new Claim(shard, cpus(task), 1));
+        requests.add(new ShareRequest(shard, cpus(task), 1));
       }
-      split /= MOST_PART + 1;
+      split /= MAX_PART + 1;
       use /= 2;
       wait /= TASKS.length;
     }
-    return new State(parts, used, claims);
+    return new State(parts, used, requests);
   }
 
   /** Plays every order of givers; nothing is lost, nobody gives what it uses, and it ends. */
-  private static void play(State state, long limit, int steps) {
+  private static void checkAllOrders(State state, long limit, int steps) {
     assertThat(sum(state.parts)).isEqualTo(limit);
     SHARDS.forEach(shard -> assertThat(state.unused(shard)).isNotNegative());
-    List<String> givers = state.plan().stream().map(Transfer::from).distinct().toList();
-    if (givers.isEmpty()) {
-      served(state);
+    List<String> sources = state.plan().stream().map(Transfer::from).distinct().toList();
+    if (sources.isEmpty()) {
+      checkServed(state);
       return;
     }
     assertThat(steps).as("gifts until nobody has more to give: %s", state).isPositive();
-    givers.forEach(giver -> play(state.after(giver), limit, steps - 1));
+    sources.forEach(source -> checkAllOrders(state.after(source), limit, steps - 1));
   }
 
   /** In the order of the claims, whoever could be served from all unused parts has its part. */
-  private static void served(State state) {
-    long left = SHARDS.stream().mapToLong(state::unused).sum();
-    for (Claim claim : state.claims) {
-      if (claim.task().cpu() <= left) {
-        left -= claim.task().cpu();
-        assertThat(state.unused(claim.shard())).isGreaterThanOrEqualTo(claim.task().cpu());
+  private static void checkServed(State state) {
+    long remaining = SHARDS.stream().mapToLong(state::unused).sum();
+    for (ShareRequest request : state.requests) {
+      if (request.taskResources().cpu() <= remaining) {
+        remaining -= request.taskResources().cpu();
+        assertThat(state.unused(request.shard()))
+            .isGreaterThanOrEqualTo(request.taskResources().cpu());
       }
     }
   }
 
   @Test
-  void whoeverCanBeServedIsServedAndNothingIsLost() {
-    List<State> states = all();
+  void servableRequestsAreServedAndNothingIsLost() {
+    List<State> states = allStates();
     assertThat(states).hasSizeGreaterThan(10_000);
-    states.forEach(state -> play(state, sum(state.parts), MOST_STEPS));
+    states.forEach(state -> checkAllOrders(state, sum(state.parts), MAX_STEPS));
   }
 
   /** Five shards with 3 processors each start a task of 4. */
   @Test
-  void smallRestsOfManyShardsAreGathered() {
+  void smallRemaindersOfManyShardsAreCombined() {
     Map<String, Room> parts = new TreeMap<>();
     for (int i = 0; i < 5; i++) {
       parts.put("n" + i, cpus(3));
     }
-    List<Claim> claims = List.of(new Claim("n3", cpus(4), 1));
-    List<Transfer> plan = SharePlan.transfers(parts, Map.of(), Map.of("n3", cpus(4)), claims);
+    List<ShareRequest> requests = List.of(new ShareRequest("n3", cpus(4), 1));
+    List<Transfer> plan = SharePlan.transfers(parts, Map.of(), Map.of("n3", cpus(4)), requests);
     assertThat(plan).containsExactly(new Transfer("n0", "n3", cpus(1)));
   }
 
   /** The check finds a planted fault: a giver that forgets what it uses. */
   @Test
-  void aGiverThatForgetsWhatItUsesIsFound() {
+  void aTransferOfPartsInUseIsDetected() {
     State state =
         new State(
             Map.of("n0", cpus(2), "n1", cpus(0), "n2", cpus(0)),
             Map.of("n0", cpus(2)),
-            List.of(new Claim("n1", cpus(2), 1)));
+            List.of(new ShareRequest("n1", cpus(2), 1)));
     List<Transfer> planted =
-        SharePlan.transfers(state.parts, Map.of(), Map.of("n1", cpus(2)), state.claims);
+        SharePlan.transfers(state.parts, Map.of(), Map.of("n1", cpus(2)), state.requests);
     assertThat(planted).isNotEmpty();
     assertThat(state.plan()).isEmpty();
   }
--- a/src/test/java/dunlincroft/membership/ToldHistories.java
+++ b/src/test/java/dunlincroft/membership/CancellationHistories.java
@@ -15,133 +15,136 @@
  * knows what was told when: outages, refusals, cuts that hold beats back, standstills, restarts
  * within 0.2 s, answers that are lost, cancellations told by who only read them.
  */
-final class ToldHistories {
+final class CancellationHistories {
   /** What is done wrong on purpose. */
-  enum Plant {
+  enum PlantedFault {
     NONE,
     /** The condition of old: all say that they hear nothing now. */
-    ALL_SAY_THAT_THEY_HEAR_NOTHING,
+    ALL_REPORT_DISCONNECTED,
     /** A reading counts from when its answer came. */
-    READ_AT_THE_ANSWER,
+    READ_TIME_IS_RESPONSE_TIME,
     /** A process that has begun anew goes on under the number of its former life. */
-    NEW_LIVES_VOUCH,
+    RESTART_KEEPS_INSTANCE_ID,
     /** What is told counts from when the beat came. */
-    CLOSED_AT_ARRIVAL,
+    CLOSED_AT_ARRIVAL_TIME,
     /** Who only read of a cancellation tells of it without vouching. */
-    READERS_DO_NOT_VOUCH,
+    READERS_DO_NOT_REPORT,
     /** What was handed over with a word is not taken in. */
-    HANDED_AND_DROPPED,
+    RECEIVED_AND_DROPPED,
     /** Who has promised to tell nothing more tells all the same. */
-    PROMISES_ARE_BROKEN,
+    SUSPENSION_IGNORED,
     /** Half a promise's time is taken for all of it. */
-    PROMISES_END_EARLY,
+    SUSPENSION_ENDS_EARLY,
     /** Who has just begun is bound by no promise. */
-    NEW_LIVES_TELL_AT_ONCE
+    RESTART_NOT_SUSPENDED
   }
 
   private static final int NODES = 5;
   private static final long STEP_MS = 50;
 
-  private record TellingOf(long revision, long at) {}
+  private record Acknowledgement(long revision, long acknowledgedAt) {}
 
   private final class Node {
     private final String name;
-    private final long clockOff;
+    private final long clockOffset;
     private boolean alive;
     private boolean synced;
-    private int lives;
-    private long life;
-    private long bornAt;
-    private long stillUntil;
+    private int starts;
+    private long instanceId;
+    private long startedAt;
+    private long pausedUntil;
     private long refusedUntil;
     private LowWatermark watermark;
     private long revision;
     private long readAt;
     private final Set<Long> known = new HashSet<>();
-    private final List<Runnable> arrived = new ArrayList<>();
+    private final List<Runnable> pending = new ArrayList<>();
     private final long[] silentMs = new long[NODES];
     private final long[] heardAt = new long[NODES];
 
     Node(int index) {
       name = "n" + index;
-      clockOff = random.nextInt(1_000_000_000);
+      clockOffset = random.nextInt(1_000_000_000);
     }
 
     long now() {
-      return clock.now() + clockOff;
+      return clock.now() + clockOffset;
     }
 
     void start() {
       alive = true;
       synced = false;
-      bornAt = now();
-      lives++;
-      life = plant == Plant.NEW_LIVES_VOUCH && life != 0 ? life : random.nextLong();
+      startedAt = now();
+      starts++;
+      instanceId =
+          fault == PlantedFault.RESTART_KEEPS_INSTANCE_ID && instanceId != 0
+              ? instanceId
+              : random.nextLong();
       List<String> names = new ArrayList<>();
       nodes.forEach(node -> names.add(node.name));
-      long bornAt = plant == Plant.NEW_LIVES_TELL_AT_ONCE ? now() - 100_000 : now();
-      watermark = new LowWatermark(name, life, bornAt, names);
+      long watermarkStart = fault == PlantedFault.RESTART_NOT_SUSPENDED ? now() - 100_000 : now();
+      watermark = new LowWatermark(name, instanceId, watermarkStart, names);
       revision = 0;
       readAt = 0;
       known.clear();
-      arrived.clear();
+      pending.clear();
     }
 
     void crash(long ms) {
       if (alive) {
         alive = false;
-        stillUntil = 0;
+        pausedUntil = 0;
         clock.after(ms, this::start);
       }
     }
 
     /** Runs at this life, or not at all; while the process stands still, once it goes on. */
-    void in(int since, Runnable what) {
-      if (alive && lives == since) {
-        if (clock.now() < stillUntil) {
-          arrived.add(() -> in(since, what));
+    void runInInstance(int instance, Runnable action) {
+      if (alive && starts == instance) {
+        if (clock.now() < pausedUntil) {
+          pending.add(() -> runInInstance(instance, action));
         } else {
-          what.run();
+          action.run();
         }
       }
     }
 
-    boolean acts() {
-      return alive && clock.now() >= stillUntil;
+    boolean isActive() {
+      return alive && clock.now() >= pausedUntil;
     }
 
-    boolean reaches() {
+    boolean reachesStateService() {
       return !outage() && clock.now() >= refusedUntil;
     }
 
     void read() {
-      int since = lives;
-      long asked = now();
+      int instance = starts;
+      long requestedAt = now();
       clock.after(
           delay(),
           () -> {
-            if (!reaches()) {
+            if (!reachesStateService()) {
               return;
             }
             long seen = epoch;
             clock.after(
                 delay(),
                 () ->
-                    in(
-                        since,
+                    runInInstance(
+                        instance,
                         () -> {
                           revision = Math.max(revision, seen);
-                          boolean late = plant == Plant.READ_AT_THE_ANSWER;
-                          readAt = Math.max(readAt, late ? now() : asked);
+                          boolean late = fault == PlantedFault.READ_TIME_IS_RESPONSE_TIME;
+                          readAt = Math.max(readAt, late ? now() : requestedAt);
                           synced = true;
                         }));
           });
     }
 
-    void beat() {
+    void sendHeartbeats() {
       // Who has read nothing yet counts from its beginning.
-      long stateSilentMs = now() - (synced ? readAt : bornAt);
-      Beat beat =
+      long stateSilentMs = now() - (synced ? readAt : startedAt);
+      Beat heartbeat =
           new Beat(
               name,
               0,
@@ -151,85 +154,91 @@
               0,
               List.of(),
               Beat.Load.NONE,
-              watermark.told(now(), revision, stateSilentMs));
+              watermark.createReport(now(), revision, stateSilentMs));
       for (Node other : nodes) {
         if (other != this) {
-          int since = other.lives;
-          carry(name + other.name, () -> other.in(since, () -> other.heard(this, beat)));
+          int instance = other.starts;
+          send(
+              name + other.name,
+              () -> other.runInInstance(instance, () -> other.heartbeatReceived(this, heartbeat)));
         }
       }
     }
 
-    void heard(Node from, Beat beat) {
+    void heartbeatReceived(Node from, Beat heartbeat) {
       int index = nodes.indexOf(from);
-      silentMs[index] = beat.stateSilentMs();
+      silentMs[index] = heartbeat.stateSilentMs();
       heardAt[index] = now();
-      Beat taken = beat;
-      if (plant == Plant.CLOSED_AT_ARRIVAL) {
-        Beat.Told word = beat.told();
+      Beat received = heartbeat;
+      if (fault == PlantedFault.CLOSED_AT_ARRIVAL_TIME) {
+        Beat.Told report = heartbeat.told();
         List<Beat.Echo> echoes = new ArrayList<>();
-        word.echoes().forEach(echo -> echoes.add(new Beat.Echo(echo.node(), echo.life(), now())));
-        taken =
+        report.echoes().forEach(echo -> echoes.add(new Beat.Echo(echo.node(), echo.life(), now())));
+        received =
             new Beat(
-                beat.node(),
+                heartbeat.node(),
                 0,
-                beat.stateSilentMs(),
+                heartbeat.stateSilentMs(),
                 0,
                 0,
                 0,
                 List.of(),
                 Beat.Load.NONE,
                 new Beat.Told(
-                    word.life(),
-                    word.sentAt(),
+                    report.life(),
+                    report.sentAt(),
                     echoes,
-                    word.revision(),
-                    word.highest(),
-                    word.above(),
-                    word.cancelled()));
+                    report.revision(),
+                    report.highest(),
+                    report.above(),
+                    report.cancelled()));
       }
-      for (Beat.Cancelled handed : watermark.heard(taken, now(), revision, readAt)) {
-        if (plant != Plant.HANDED_AND_DROPPED) {
-          known.add(handed.revision());
+      for (Beat.Cancelled cancellation :
+          watermark.heartbeatReceived(received, now(), revision, readAt)) {
+        if (fault != PlantedFault.RECEIVED_AND_DROPPED) {
+          known.add(cancellation.revision());
         }
       }
     }
 
-    private boolean mayTell(long cancel) {
-      long ahead = plant == Plant.PROMISES_END_EARLY ? Constants.PROMISE_MS / 2 : 0;
-      return plant == Plant.PROMISES_ARE_BROKEN || watermark.mayTell(cancel, now() + ahead);
+    private boolean canAcknowledge(long cancel) {
+      long ahead = fault == PlantedFault.SUSPENSION_ENDS_EARLY ? Constants.PROMISE_MS / 2 : 0;
+      return fault == PlantedFault.SUSPENSION_IGNORED
+          || watermark.canAcknowledge(cancel, now() + ahead);
     }
 
-    void tell(long cancel, boolean committed) {
-      if (!mayTell(cancel)) {
+    void acknowledge(long cancel, boolean committed) {
+      if (!canAcknowledge(cancel)) {
         return;
       }
-      if (committed || plant != Plant.READERS_DO_NOT_VOUCH) {
-        watermark.telling("run-" + cancel, cancel);
+      if (committed || fault != PlantedFault.READERS_DO_NOT_REPORT) {
+        watermark.recordAcknowledgement("run-" + cancel, cancel);
       }
       known.add(cancel);
-      tellings.add(new TellingOf(cancel, clock.now()));
+      acknowledgements.add(new Acknowledgement(cancel, clock.now()));
     }
 
     /** A user cancels a job here. */
     void cancel(boolean answerLost) {
-      int since = lives;
+      int instance = starts;
       clock.after(
           delay(),
           () -> {
-            if (!reaches()) {
+            if (!reachesStateService()) {
               return;
             }
-            long mine = ++epoch;
-            committed.add(mine);
+            long revisionOfCancel = ++epoch;
+            committed.add(revisionOfCancel);
             if (!answerLost) {
-              clock.after(delay(), () -> in(since, () -> tell(mine, true)));
+              clock.after(
+                  delay(),
+                  () -> runInInstance(instance, () -> acknowledge(revisionOfCancel, true)));
             }
           });
     }
 
-    long at() {
-      if (plant == Plant.ALL_SAY_THAT_THEY_HEAR_NOTHING) {
+    long watermarkValue() {
+      if (fault == PlantedFault.ALL_REPORT_DISCONNECTED) {
         for (int i = 0; i < NODES; i++) {
           boolean other = nodes.get(i) != this;
           if (other && (now() - heardAt[i] > 2300 || silentMs[i] <= Constants.STALE_MS / 2)) {
@@ -238,29 +247,29 @@
         }
         return now();
       }
-      return watermark.at(readAt, now());
+      return watermark.value(readAt, now());
     }
   }
 
   private final VirtualClock clock = new VirtualClock();
   private final Random random;
-  private final Plant plant;
+  private final PlantedFault fault;
   private final List<Node> nodes = new ArrayList<>();
   private final TreeSet<Long> committed = new TreeSet<>();
-  private final List<TellingOf> tellings = new ArrayList<>();
-  private final Set<String> cut = new HashSet<>();
-  private final List<Runnable> heldBack = new ArrayList<>();
+  private final List<Acknowledgement> acknowledgements = new ArrayList<>();
+  private final Set<String> cutLinks = new HashSet<>();
+  private final List<Runnable> delayedMessages = new ArrayList<>();
   private long epoch = 1;
   private long outageUntil;
 
-  final List<String> broken = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
 
   /** Looks at which a watermark was beyond the last reading. */
   long beyondReading;
 
-  ToldHistories(long seed, Plant plant) {
+  CancellationHistories(long seed, PlantedFault fault) {
     random = new Random(seed);
-    this.plant = plant;
+    this.fault = fault;
     for (int i = 0; i < NODES; i++) {
       nodes.add(new Node(i));
     }
@@ -268,8 +277,8 @@
     step(0);
   }
 
-  int toldSoFar() {
-    return tellings.size();
+  int acknowledgedCount() {
+    return acknowledgements.size();
   }
 
   private boolean outage() {
@@ -285,32 +294,32 @@
   }
 
   /** One direction of a link: a cut holds back what is sent, and delivers it in the end. */
-  private void carry(String link, Runnable arrive) {
-    if (cut.contains(link)) {
-      heldBack.add(arrive);
+  private void send(String link, Runnable delivery) {
+    if (cutLinks.contains(link)) {
+      delayedMessages.add(delivery);
     } else {
-      clock.after(delay(), arrive);
+      clock.after(delay(), delivery);
     }
   }
 
   private void step(long n) {
     for (Node node : nodes) {
-      if (node.acts()) {
-        List<Runnable> late = List.copyOf(node.arrived);
-        node.arrived.clear();
+      if (node.isActive()) {
+        List<Runnable> late = List.copyOf(node.pending);
+        node.pending.clear();
         late.forEach(Runnable::run);
         if (n % 4 == 0) {
           node.read();
         }
         if (n % 6 == 0) {
-          node.beat();
+          node.sendHeartbeats();
         }
         if (random.nextInt(60) == 0) {
           node.cancel(random.nextInt(4) == 0);
         }
         Long last = committed.floor(node.revision);
         if (random.nextInt(60) == 0 && node.synced && last != null) {
-          node.tell(last, false);
+          node.acknowledge(last, false);
         }
         observe(node);
       }
@@ -322,14 +331,20 @@
     if (!node.synced) {
       return;
     }
-    long upTo = node.at() - node.clockOff;
-    beyondReading += node.at() > node.readAt ? 1 : 0;
-    for (TellingOf telling : tellings) {
-      if (telling.at < upTo
-          && telling.revision > node.revision
-          && !node.known.contains(telling.revision)) {
-        broken.add(
-            clock.now() + " " + node.name + " vouches up to " + upTo + " and lacks " + telling);
+    long knownUpTo = node.watermarkValue() - node.clockOffset;
+    beyondReading += node.watermarkValue() > node.readAt ? 1 : 0;
+    for (Acknowledgement acknowledgement : acknowledgements) {
+      if (acknowledgement.acknowledgedAt < knownUpTo
+          && acknowledgement.revision > node.revision
+          && !node.known.contains(acknowledgement.revision)) {
+        violations.add(
+            clock.now()
+                + " "
+                + node.name
+                + " vouches up to "
+                + knownUpTo
+                + " and lacks "
+                + acknowledgement);
       }
     }
   }
@@ -338,7 +353,7 @@
   long furthestBehindMs() {
     return nodes.stream()
         .filter(node -> node.alive && node.synced)
-        .mapToLong(node -> node.now() - node.at())
+        .mapToLong(node -> node.now() - node.watermarkValue())
         .max()
         .orElse(0);
   }
@@ -348,17 +363,17 @@
     nodes.get(node).crash(ms);
   }
 
-  void calm(long ms) {
+  void runFor(long ms) {
     clock.runUntil(clock.now() + ms);
   }
 
   /** Faults of all kinds, alone and together. */
-  void play(long ms) {
+  void runWithFaults(long ms) {
     long end = clock.now() + ms;
-    calm(5000);
+    runFor(5000);
     while (clock.now() < end) {
-      fault();
-      calm(100 + random.nextInt(random.nextBoolean() ? 1500 : 9000));
+      injectFault();
+      runFor(100 + random.nextInt(random.nextBoolean() ? 1500 : 9000));
     }
   }
 
@@ -366,40 +381,40 @@
    * One is still refused when an outage is over, and another, which may have begun anew meanwhile,
    * is not heard by it while it tells users of cancellations.
    */
-  private void refusedAfterAnOutage(Node teller, Node refused) {
+  private void refusedAfterAnOutage(Node sender, Node refused) {
     long ms = 4500 + random.nextInt(4000);
     outage(ms);
     refused.refusedUntil = clock.now() + ms + 20_000;
     long cutAt = ms - random.nextInt(600);
-    clock.after(cutAt, () -> cut(teller, refused, 4000 + random.nextInt(14_000)));
+    clock.after(cutAt, () -> cutLink(sender, refused, 4000 + random.nextInt(14_000)));
     if (random.nextBoolean()) {
-      clock.after(cutAt + random.nextInt(500), () -> teller.crash(100 + random.nextInt(200)));
+      clock.after(cutAt + random.nextInt(500), () -> sender.crash(100 + random.nextInt(200)));
     }
   }
 
-  private void cut(Node from, Node to, long ms) {
-    cut.add(from.name + to.name);
+  private void cutLink(Node from, Node to, long ms) {
+    cutLinks.add(from.name + to.name);
     clock.after(
         ms,
         () -> {
-          cut.remove(from.name + to.name);
-          List<Runnable> late = List.copyOf(heldBack);
-          heldBack.clear();
+          cutLinks.remove(from.name + to.name);
+          List<Runnable> late = List.copyOf(delayedMessages);
+          delayedMessages.clear();
           late.forEach(each -> clock.after(delay(), each));
         });
   }
 
-  private void fault() {
+  private void injectFault() {
     Node node = nodes.get(random.nextInt(NODES));
     switch (random.nextInt(7)) {
       case 6 -> refusedAfterAnOutage(node, nodes.get(random.nextInt(NODES)));
       case 0 -> node.crash(random.nextBoolean() ? 100 + random.nextInt(200) : 5000);
       case 1 -> outage(5000 + random.nextInt(60_000));
       case 2 -> node.refusedUntil = clock.now() + 1000 + random.nextInt(20_000);
-      case 3 -> node.stillUntil = clock.now() + 500 + random.nextInt(20_000);
+      case 3 -> node.pausedUntil = clock.now() + 500 + random.nextInt(20_000);
       default -> {
         Node other = nodes.get(random.nextInt(NODES));
-        cut(node, other, 500 + random.nextInt(15_000));
+        cutLink(node, other, 500 + random.nextInt(15_000));
       }
     }
   }
--- a/src/test/java/dunlincroft/membership/FailureDetectorTest.java
+++ b/src/test/java/dunlincroft/membership/FailureDetectorTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dunlincroft.Constants;
-import dunlincroft.membership.Histories.Kind;
-import dunlincroft.membership.Histories.Verdicts;
+import dunlincroft.membership.HeartbeatHistories.Kind;
+import dunlincroft.membership.HeartbeatHistories.Verdicts;
 import dunlincroft.membership.Succession.Candidate;
 import dunlincroft.transport.Beat;
 import dunlincroft.transport.Beat.Hearing;
@@ -26,41 +26,42 @@
   /** Nobody who is there is condemned, and a crash is seen in half of the time of a fixed wait. */
   @ParameterizedTest
   @EnumSource(Kind.class)
-  void condemnsCrashesAloneAndSoonerThanAFixedWait(Kind kind) {
-    long ours = 0;
+  void condemnsOnlyCrashedPeersAndSoonerThanAFixedTimeout(Kind kind) {
+    long graded = 0;
     long fixed = 0;
     for (long seed = 1; seed <= 6; seed++) {
-      List<Verdicts> verdicts = Histories.play(kind, seed, 300);
+      List<Verdicts> verdicts = HeartbeatHistories.simulate(kind, seed, 300);
       assertThat(verdicts.get(0).wrong).as("wrong verdicts, seed %d", seed).isZero();
       assertThat(verdicts.get(0).right).as("verdicts of the four others").isEqualTo(4);
-      ours += verdicts.get(0).firstMs;
-      fixed += verdicts.get(Histories.FIXED.size()).firstMs;
+      graded += verdicts.get(0).firstMs;
+      fixed += verdicts.get(HeartbeatHistories.FIXED_TIMEOUTS_MS.size()).firstMs;
     }
-    assertThat(2 * ours).isLessThanOrEqualTo(fixed);
+    assertThat(2 * graded).isLessThanOrEqualTo(fixed);
   }
 
   /** Everybody beats regularly for a while. */
-  private static long settled(FailureDetector detector, List<String> those, long from, long until) {
+  private static long heartbeatsFrom(
+      FailureDetector detector, List<String> nodes, long from, long until) {
     long now = from;
     for (; now < until; now += Constants.LINK_BEAT_MS) {
-      for (String node : those) {
-        detector.heard(new Beat(node, 1, 0, 0, 0, 0, List.of()), now);
+      for (String node : nodes) {
+        detector.heartbeatReceived(new Beat(node, 1, 0, 0, 0, 0, List.of()), now);
       }
       detector.tick(now);
     }
     return now;
   }
 
-  private static Hearing of(String node, long silentMs, long count, boolean suspected) {
+  private static Hearing observation(String node, long silentMs, long count, boolean suspected) {
     return new Hearing(node, silentMs, count, suspected, suspected, false);
   }
 
   /** c, d and e say what they hear of b, until then. */
-  private static long say(FailureDetector detector, Hearing of, long from, long until) {
+  private static long relay(FailureDetector detector, Hearing observed, long from, long until) {
     long now = from;
     for (; now < until; now += 100) {
       for (String node : List.of("c", "d", "e")) {
-        detector.heard(new Beat(node, 1, 0, 0, 0, 0, List.of(of)), now);
+        detector.heartbeatReceived(new Beat(node, 1, 0, 0, 0, 0, List.of(observed)), now);
       }
       detector.tick(now);
     }
@@ -69,14 +70,14 @@
 
   /** After a cut all beats come at once. They once made a regular peer suspect at its next one. */
   @Test
-  void beatsThatWereHeldBackTeachNothing() {
+  void delayedHeartbeatsDoNotChangeTheEstimate() {
     FailureDetector detector = new FailureDetector("a", OTHERS, 0);
-    long now = settled(detector, OTHERS, 0, 20_000);
+    long now = heartbeatsFrom(detector, OTHERS, 0, 20_000);
     for (int i = 0; i < Constants.BEATS_KEPT; i++) {
-      detector.heard(new Beat("b", 1, 0, 0, 0, 0, List.of()), now);
+      detector.heartbeatReceived(new Beat("b", 1, 0, 0, 0, 0, List.of()), now);
     }
     detector.tick(now + 3 * Constants.LINK_BEAT_MS / 2);
-    assertThat(detector.trust("b")).isEqualTo(Trust.TRUSTED);
+    assertThat(detector.state("b")).isEqualTo(PeerState.TRUSTED);
   }
 
   /**
@@ -84,107 +85,109 @@
    * way. They say nothing of the new one: if that ends, it is not kept alive by them.
    */
   @Test
-  void beatsOfAFormerLifeSayNothingOfThisOne() {
+  void heartbeatsOfAnEarlierIncarnationAreIgnored() {
     FailureDetector detector = new FailureDetector("a", OTHERS, 0);
-    long now = settled(detector, OTHERS, 0, 20_000);
-    detector.heard(new Beat("b", 2, 0, 0, 0, 0, List.of()), now);
+    long now = heartbeatsFrom(detector, OTHERS, 0, 20_000);
+    detector.heartbeatReceived(new Beat("b", 2, 0, 0, 0, 0, List.of()), now);
     for (int i = 0; i < 30; i++) {
-      detector.heard(new Beat("b", 1, 0, 0, 0, 0, List.of()), now);
-      now = say(detector, of("b", 100, 0, false), now, now + 100);
+      detector.heartbeatReceived(new Beat("b", 1, 0, 0, 0, 0, List.of()), now);
+      now = relay(detector, observation("b", 100, 0, false), now, now + 100);
     }
-    assertThat(detector.trust("b")).isEqualTo(Trust.SUSPECTED);
-    detector.heard(new Beat("b", 0, 0, 0, 0, 0, List.of()), now);
-    assertThat(detector.trust("b")).as("a third life, before its hold").isEqualTo(Trust.TRUSTED);
+    assertThat(detector.state("b")).isEqualTo(PeerState.SUSPECTED);
+    detector.heartbeatReceived(new Beat("b", 0, 0, 0, 0, 0, List.of()), now);
+    assertThat(detector.state("b"))
+        .as("a third life, before its hold")
+        .isEqualTo(PeerState.TRUSTED);
   }
 
   @Test
-  void aSuspectRefutesByWayOfAnother() {
+  void aSuspectedPeerRefutesThroughAnotherPeer() {
     FailureDetector detector = new FailureDetector("a", OTHERS, 0);
-    long now = settled(detector, OTHERS, 0, 20_000);
-    now = say(detector, of("b", 100, 0, false), now, now + 1500);
-    assertThat(detector.trust("b"))
+    long now = heartbeatsFrom(detector, OTHERS, 0, 20_000);
+    now = relay(detector, observation("b", 100, 0, false), now, now + 1500);
+    assertThat(detector.state("b"))
         .as("what others hear at the old count")
-        .isEqualTo(Trust.SUSPECTED);
-    now = say(detector, of("b", 100, 1, false), now, now + 3000);
-    assertThat(detector.trust("b")).isEqualTo(Trust.TRUSTED);
-    say(detector, of("b", 4000, 1, true), now, now + 4000);
-    assertThat(detector.trust("b")).isEqualTo(Trust.CONDEMNED);
+        .isEqualTo(PeerState.SUSPECTED);
+    now = relay(detector, observation("b", 100, 1, false), now, now + 3000);
+    assertThat(detector.state("b")).isEqualTo(PeerState.TRUSTED);
+    relay(detector, observation("b", 4000, 1, true), now, now + 4000);
+    assertThat(detector.state("b")).isEqualTo(PeerState.CONDEMNED);
   }
 
   @Test
-  void aRecordRefutesRefusedConnectionsButNotOneThatMayBeOld() {
+  void onlyARecentRecordRefutesRefusedConnections() {
     FailureDetector detector = new FailureDetector("a", OTHERS, 0);
-    long now = settled(detector, OTHERS, 0, 20_000);
-    detector.refused("b", true);
-    Hearing gone = new Hearing("b", 3000, 0, true, true, true);
+    long now = heartbeatsFrom(detector, OTHERS, 0, 20_000);
+    detector.connectionRefused("b", true);
+    Hearing unreachable = new Hearing("b", 3000, 0, true, true, true);
     for (int i = 0; i < 20; i++) {
-      now = say(detector, gone, now, now + 300);
-      detector.wrote("b", now);
+      now = relay(detector, unreachable, now, now + 300);
+      detector.recordWritten("b", now);
       detector.tick(now);
       if (i > 3) {
-        assertThat(detector.trust("b")).isNotEqualTo(Trust.CONDEMNED);
+        assertThat(detector.state("b")).isNotEqualTo(PeerState.CONDEMNED);
       }
     }
-    now = say(detector, gone, now, now + 1500);
-    assertThat(detector.gone("b")).isTrue();
+    now = relay(detector, unreachable, now, now + 1500);
+    assertThat(detector.hasEnded("b")).isTrue();
   }
 
   @Test
-  void whoHearsHardlyAnybodyCondemnsNobody() {
+  void anIsolatedNodeCondemnsNobody() {
     FailureDetector detector = new FailureDetector("a", OTHERS, 0);
-    long now = settled(detector, OTHERS, 0, 20_000);
-    OTHERS.forEach(other -> detector.refused(other, true));
+    long now = heartbeatsFrom(detector, OTHERS, 0, 20_000);
+    OTHERS.forEach(other -> detector.connectionRefused(other, true));
     for (long end = now + 30_000; now < end; now += 200) {
       detector.tick(now);
     }
-    assertThat(detector.lonely()).isTrue();
-    OTHERS.forEach(other -> assertThat(detector.trust(other)).isEqualTo(Trust.SUSPECTED));
+    assertThat(detector.isIsolated()).isTrue();
+    OTHERS.forEach(other -> assertThat(detector.state(other)).isEqualTo(PeerState.SUSPECTED));
     // The cut was ours and ends: b, heard a moment later than the others, has not failed.
-    now = settled(detector, List.of("c", "d", "e"), now, now + 1000);
-    assertThat(detector.trust("b")).isEqualTo(Trust.SUSPECTED);
-    assertThat(detector.lonely()).isTrue();
-    settled(detector, List.of("c", "d", "e"), now, now + 3000);
-    assertThat(detector.lonely()).isFalse();
+    now = heartbeatsFrom(detector, List.of("c", "d", "e"), now, now + 1000);
+    assertThat(detector.state("b")).isEqualTo(PeerState.SUSPECTED);
+    assertThat(detector.isIsolated()).isTrue();
+    heartbeatsFrom(detector, List.of("c", "d", "e"), now, now + 3000);
+    assertThat(detector.isIsolated()).isFalse();
   }
 
   @Test
-  void ourOwnTroublesLengthenOurPatience() {
+  void localTroubleLengthensTheTimeout() {
     FailureDetector detector = new FailureDetector("a", OTHERS, 0);
-    long now = settled(detector, OTHERS, 0, 20_000);
-    detector.stoodStill(2000, now);
+    long now = heartbeatsFrom(detector, OTHERS, 0, 20_000);
+    detector.pauseDetected(2000, now);
     detector.tick(now + 900);
-    assertThat(detector.trust("b")).isEqualTo(Trust.TRUSTED);
+    assertThat(detector.state("b")).isEqualTo(PeerState.TRUSTED);
     detector.tick(now + 1500);
-    assertThat(detector.trust("b")).isEqualTo(Trust.SUSPECTED);
+    assertThat(detector.state("b")).isEqualTo(PeerState.SUSPECTED);
   }
 
   /** Whatever fails: one order for all to compute, everybody in it once, shards spread out. */
   @Property(seed = "7", tries = 200)
-  void successionIsPlanned(
+  void successionIsDeterministicAndSpread(
       @ForAll @IntRange(min = 1, max = 5) int shards,
       @ForAll @IntRange(min = 1, max = 6) int candidates,
-      @ForAll @IntRange(max = 4) int other) {
-    List<String> fallen = new ArrayList<>();
+      @ForAll @IntRange(max = 4) int otherZone) {
+    List<String> failedShards = new ArrayList<>();
     for (int i = 0; i < shards; i++) {
-      fallen.add("s" + i);
+      failedShards.add("s" + i);
     }
-    List<Candidate> there = new ArrayList<>();
+    List<Candidate> available = new ArrayList<>();
     for (int i = 0; i < candidates; i++) {
-      there.add(new Candidate("n" + i, i < other ? "elsewhere" : "here", i % 2));
+      available.add(new Candidate("n" + i, i < otherZone ? "elsewhere" : "here", i % 2));
     }
-    Map<String, List<String>> plan = Succession.plan(fallen, "here", there);
-    Collections.reverse(there);
-    assertThat(Succession.plan(fallen, "here", there)).isEqualTo(plan);
-    assertThat(plan.keySet()).containsExactlyElementsOf(fallen);
+    Map<String, List<String>> plan = Succession.plan(failedShards, "here", available);
+    Collections.reverse(available);
+    assertThat(Succession.plan(failedShards, "here", available)).isEqualTo(plan);
+    assertThat(plan.keySet()).containsExactlyElementsOf(failedShards);
     plan.values().forEach(order -> assertThat(order).hasSize(candidates).doesNotHaveDuplicates());
     List<String> firsts = plan.values().stream().map(order -> order.get(0)).toList();
-    int well = other == 0 ? candidates : Math.min(other, candidates);
-    if (well >= 2 * shards) {
+    int preferred = otherZone == 0 ? candidates : Math.min(otherZone, candidates);
+    if (preferred >= 2 * shards) {
       assertThat(new HashSet<>(firsts)).as("one shard each").hasSize(shards);
     }
-    if (other > 0) {
+    if (otherZone > 0) {
       firsts.forEach(
-          node -> assertThat(Integer.parseInt(node.substring(1))).as("zone").isLessThan(other));
+          node -> assertThat(Integer.parseInt(node.substring(1))).as("zone").isLessThan(otherZone));
     }
   }
 }
--- a/src/test/java/dunlincroft/membership/Histories.java
+++ b/src/test/java/dunlincroft/membership/HeartbeatHistories.java
@@ -15,39 +15,39 @@
  * Generated histories of beats between five controllers, played to the failure detector and, beside
  * it, to the fixed wait that went before: who is condemned by whom, when, and whether it was there.
  */
-final class Histories {
+final class HeartbeatHistories {
   static final int NODES = 5;
   private static final long TICK_MS = 200;
 
   /** What troubles the controllers. */
   enum Kind {
-    QUIET(0, 0, 0, 1),
+    NO_FAULTS(0, 0, 0, 1),
     LOSS_5(0.05, 0, 0, 1),
     LOSS_20(0.2, 0, 0, 1),
     PAUSES(0, 500, 2000, 1),
-    SLOW(0, 0, 0, 3);
+    SLOW_TIMERS(0, 0, 0, 3);
 
     /** Of packets, part that is lost and sent again. */
     final double loss;
 
     /** Length of pauses in milliseconds, one of each node every 20 s or so. */
-    final int pauseLeast;
+    final int pauseMinMs;
 
-    final int pauseMost;
+    final int pauseMaxMs;
 
     /** By how much timers are late: a processor that is shared. */
-    final double slowness;
+    final double timerFactor;
 
-    Kind(double loss, int pauseLeast, int pauseMost, double slowness) {
+    Kind(double loss, int pauseMinMs, int pauseMaxMs, double timerFactor) {
       this.loss = loss;
-      this.pauseLeast = pauseLeast;
-      this.pauseMost = pauseMost;
-      this.slowness = slowness;
+      this.pauseMinMs = pauseMinMs;
+      this.pauseMaxMs = pauseMaxMs;
+      this.timerFactor = timerFactor;
     }
   }
 
   /** Fixed waits to compare with, in milliseconds; the last is the one that went before. */
-  static final List<Long> FIXED = List.of(700L, 1200L, 1700L, 2200L);
+  static final List<Long> FIXED_TIMEOUTS_MS = List.of(700L, 1200L, 1700L, 2200L);
 
   /** Of one detector: verdicts on controllers that were there, and ms from a crash to the first. */
   static final class Verdicts {
@@ -78,10 +78,10 @@
     final String name;
     final FailureDetector detector;
     final Map<String, Long> heardAt = new HashMap<>();
-    final Map<String, Beat> beats = new HashMap<>();
-    final Set<String> standing = new HashSet<>();
+    final Map<String, Beat> heartbeats = new HashMap<>();
+    final Set<String> condemnations = new HashSet<>();
     long downSince = -1;
-    long stillUntil;
+    long pausedUntil;
     long lastTick;
 
     Node(int number) {
@@ -98,113 +98,117 @@
     }
 
     /** Runs at once, or when the pause is over; not at all if the node is down. */
-    void act(Runnable what) {
-      if (stillUntil > clock.now()) {
-        clock.after(stillUntil - clock.now(), () -> act(what));
+    void runWhenActive(Runnable action) {
+      if (pausedUntil > clock.now()) {
+        clock.after(pausedUntil - clock.now(), () -> runWhenActive(action));
       } else if (downSince < 0) {
-        what.run();
+        action.run();
       }
     }
 
-    void beat() {
-      clock.after(late(Constants.LINK_BEAT_MS), () -> act(this::beat));
+    void sendHeartbeats() {
+      clock.after(delayed(Constants.LINK_BEAT_MS), () -> runWhenActive(this::sendHeartbeats));
       for (Node other : nodes) {
         if (other != this) {
-          detector.refused(other.name, other.downSince >= 0);
-          Beat beat = new Beat(name, 1, 0, 0, 0, 0, detector.hearings(clock.now()));
+          detector.connectionRefused(other.name, other.downSince >= 0);
+          Beat heartbeat = new Beat(name, 1, 0, 0, 0, 0, detector.observations(clock.now()));
           long delay = 1 + random.nextInt(5);
           while (random.nextDouble() < kind.loss) {
             delay += 200 + random.nextInt(300);
           }
-          long at = Math.max(clock.now() + delay, streams.getOrDefault(name + other.name, 0L));
-          streams.put(name + other.name, at);
-          clock.after(at - clock.now(), () -> other.act(() -> other.heard(beat)));
+          long at =
+              Math.max(clock.now() + delay, lastDeliveryAt.getOrDefault(name + other.name, 0L));
+          lastDeliveryAt.put(name + other.name, at);
+          clock.after(
+              at - clock.now(),
+              () -> other.runWhenActive(() -> other.heartbeatReceived(heartbeat)));
         }
       }
     }
 
-    void heard(Beat beat) {
-      detector.heard(beat, clock.now());
-      heardAt.put(beat.node(), clock.now());
-      beats.put(beat.node(), beat);
+    void heartbeatReceived(Beat heartbeat) {
+      detector.heartbeatReceived(heartbeat, clock.now());
+      heardAt.put(heartbeat.node(), clock.now());
+      heartbeats.put(heartbeat.node(), heartbeat);
     }
 
     void tick() {
-      clock.after(late(TICK_MS), () -> act(this::tick));
-      long stood = clock.now() - lastTick - TICK_MS;
+      clock.after(delayed(TICK_MS), () -> runWhenActive(this::tick));
+      long pausedMs = clock.now() - lastTick - TICK_MS;
       lastTick = clock.now();
-      if (stood > Constants.STOOD_STILL_MS) {
-        detector.stoodStill(stood, clock.now());
-        heardAt.replaceAll((node, at) -> Math.min(clock.now(), at + stood));
-      } else if (stood > Constants.LATE_MS) {
-        detector.late(clock.now());
+      if (pausedMs > Constants.STOOD_STILL_MS) {
+        detector.pauseDetected(pausedMs, clock.now());
+        heardAt.replaceAll((node, at) -> Math.min(clock.now(), at + pausedMs));
+      } else if (pausedMs > Constants.LATE_MS) {
+        detector.ticksDelayed(clock.now());
       }
       detector.tick(clock.now());
       for (Node other : nodes) {
         if (other != this) {
-          judged(other);
+          countVerdicts(other);
         }
       }
     }
 
-    private void judged(Node other) {
+    private void countVerdicts(Node other) {
       for (int i = 0; i < verdicts.size(); i++) {
         boolean condemned =
             i == 0
-                ? detector.trust(other.name) == Trust.CONDEMNED
-                : fixedWait(other.name, FIXED.get(i - 1));
+                ? detector.state(other.name) == PeerState.CONDEMNED
+                : isOverFixedTimeout(other.name, FIXED_TIMEOUTS_MS.get(i - 1));
         String verdict = i + other.name;
         if (!condemned) {
-          standing.remove(verdict);
-        } else if (standing.add(verdict)) {
+          condemnations.remove(verdict);
+        } else if (condemnations.add(verdict)) {
           verdicts.get(i).count(other.downSince, clock.now());
         }
       }
     }
 
     /** As it was with 2.2 s: most controllers, we among them, have heard nothing for so long. */
-    private boolean fixedWait(String node, long ms) {
+    private boolean isOverFixedTimeout(String node, long ms) {
       if (clock.now() - heardAt.get(node) <= ms) {
         return false;
       }
-      long say =
-          beats.values().stream()
-              .filter(beat -> clock.now() - heardAt.get(beat.node()) <= 900)
-              .flatMap(beat -> beat.hearings().stream())
+      long silentFor =
+          heartbeats.values().stream()
+              .filter(heartbeat -> clock.now() - heardAt.get(heartbeat.node()) <= 900)
+              .flatMap(heartbeat -> heartbeat.hearings().stream())
               .filter(hearing -> hearing.node().equals(node))
               .filter(hearing -> hearing.silentMs() > ms)
               .count();
-      return 2 * (say + 1) > NODES;
+      return 2 * (silentFor + 1) > NODES;
     }
   }
 
-  private final Map<String, Long> streams = new HashMap<>();
+  private final Map<String, Long> lastDeliveryAt = new HashMap<>();
 
-  private Histories(Kind kind, long seed) {
+  private HeartbeatHistories(Kind kind, long seed) {
     this.kind = kind;
     this.random = new Random(seed);
-    for (int i = 0; i <= FIXED.size(); i++) {
+    for (int i = 0; i <= FIXED_TIMEOUTS_MS.size(); i++) {
       verdicts.add(new Verdicts());
     }
   }
 
-  private long late(long ms) {
+  private long delayed(long ms) {
     double factor = 1 + 0.02 * random.nextDouble();
-    boolean hiccup = kind.slowness > 1 && random.nextInt(10) == 0;
-    return (long) (ms * (hiccup ? kind.slowness * factor : factor));
+    boolean isDelayed = kind.timerFactor > 1 && random.nextInt(10) == 0;
+    return (long) (ms * (isDelayed ? kind.timerFactor * factor : factor));
   }
 
   /** Plays so many seconds; then one of the five crashes for good, and ten more seconds pass. */
-  static List<Verdicts> play(Kind kind, long seed, long seconds) {
-    Histories history = new Histories(kind, seed);
+  static List<Verdicts> simulate(Kind kind, long seed, long seconds) {
+    HeartbeatHistories history = new HeartbeatHistories(kind, seed);
     for (int i = 0; i < NODES; i++) {
       history.nodes.add(history.new Node(i));
     }
     for (Node node : history.nodes) {
-      history.clock.after(history.random.nextInt(300), () -> node.act(node::beat));
-      history.clock.after(history.random.nextInt(200), () -> node.act(node::tick));
-      if (kind.pauseMost > 0) {
-        history.pauseSometimes(node);
+      history.clock.after(
+          history.random.nextInt(300), () -> node.runWhenActive(node::sendHeartbeats));
+      history.clock.after(history.random.nextInt(200), () -> node.runWhenActive(node::tick));
+      if (kind.pauseMaxMs > 0) {
+        history.schedulePauses(node);
       }
     }
     long crash = history.clock.now() + seconds * 1000;
@@ -214,27 +218,27 @@
     return history.verdicts;
   }
 
-  private void pauseSometimes(Node node) {
+  private void schedulePauses(Node node) {
     clock.after(
         5000 + random.nextInt(30_000),
         () -> {
-          node.stillUntil =
-              clock.now() + kind.pauseLeast + random.nextInt(kind.pauseMost - kind.pauseLeast);
-          pauseSometimes(node);
+          node.pausedUntil =
+              clock.now() + kind.pauseMinMs + random.nextInt(kind.pauseMaxMs - kind.pauseMinMs);
+          schedulePauses(node);
         });
   }
 
   /** Prints the table of docs/membership.md: hours of each kind of history. */
   public static void main(String[] args) {
-    int plays = 48;
+    int runs = 48;
     System.out.println("| history | detector | first verdict, median ms | wrong verdicts a day |");
     System.out.println("| --- | --- | --- | --- |");
     for (Kind kind : Kind.values()) {
       List<List<Verdicts>> all = new ArrayList<>();
-      for (long seed = 1; seed <= plays; seed++) {
-        all.add(play(kind, seed, 1800));
+      for (long seed = 1; seed <= runs; seed++) {
+        all.add(simulate(kind, seed, 1800));
       }
-      for (int i = 0; i <= FIXED.size(); i++) {
+      for (int i = 0; i <= FIXED_TIMEOUTS_MS.size(); i++) {
         int each = i;
         int wrong = all.stream().mapToInt(verdicts -> verdicts.get(each).wrong).sum();
         long[] firsts =
@@ -242,9 +246,9 @@
         System.out.printf(
             "| %s | %s | %d | %d |%n",
             kind,
-            i == 0 ? "graded" : "fixed " + FIXED.get(i - 1),
-            firsts[plays / 2],
-            wrong * 48 / plays);
+            i == 0 ? "graded" : "fixed " + FIXED_TIMEOUTS_MS.get(i - 1),
+            firsts[runs / 2],
+            wrong * 48 / runs);
       }
     }
   }
--- a/src/test/java/dunlincroft/membership/LowWatermarkTest.java
+++ b/src/test/java/dunlincroft/membership/LowWatermarkTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dunlincroft.membership.ToldHistories.Plant;
+import dunlincroft.membership.CancellationHistories.PlantedFault;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -14,31 +14,31 @@
 
   /** Nobody's watermark ever passes a cancellation that some user was told and it does not know. */
   @Test
-  void neverPassesACancellationThatIsNotKnown() {
-    long told = 0;
+  void neverPassesAnUnknownCancellation() {
+    long acknowledged = 0;
     long beyondReading = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      ToldHistories history = new ToldHistories(seed, Plant.NONE);
-      history.play(200_000);
-      assertThat(history.broken).as("seed %d", seed).isEmpty();
-      told += history.toldSoFar();
+      CancellationHistories history = new CancellationHistories(seed, PlantedFault.NONE);
+      history.runWithFaults(200_000);
+      assertThat(history.violations).as("seed %d", seed).isEmpty();
+      acknowledged += history.acknowledgedCount();
       beyondReading += history.beyondReading;
     }
     // The histories are about something: much is told, and word of others often carries further
     // than the last reading.
-    assertThat(told).isGreaterThan(20L * SEEDS);
+    assertThat(acknowledged).isGreaterThan(20L * SEEDS);
     assertThat(beyondReading).isGreaterThan(100L * SEEDS);
   }
 
   /** Each way to get it wrong is found by the observer. */
   @ParameterizedTest
-  @EnumSource(value = Plant.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-  void plantedFaultsAreFound(Plant plant) {
+  @EnumSource(value = PlantedFault.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
+  void plantedFaultsAreDetected(PlantedFault fault) {
     int found = 0;
     for (long seed = 1; found == 0 && seed <= SEEDS; seed++) {
-      ToldHistories history = new ToldHistories(seed, plant);
-      history.play(200_000);
-      found += history.broken.size();
+      CancellationHistories history = new CancellationHistories(seed, fault);
+      history.runWithFaults(200_000);
+      found += history.violations.size();
     }
     assertThat(found).isPositive();
   }
@@ -46,36 +46,36 @@
   /** Nor do those that end in it, one after the other, as long as each is soon back. */
   @ParameterizedTest
   @ValueSource(longs = {100, 3000, 8000})
-  void whoIsBackSoonHoldsNobodyUpInAnOutage(long awayMs) {
+  void quickRestartsDoNotBlockTheWatermarkInAnOutage(long awayMs) {
     for (long seed = 1; seed <= 20; seed++) {
-      ToldHistories history = new ToldHistories(seed, Plant.NONE);
-      history.calm(20_000);
+      CancellationHistories history = new CancellationHistories(seed, PlantedFault.NONE);
+      history.runFor(20_000);
       history.outage(120_000);
-      history.calm(7000);
+      history.runFor(7000);
       for (int second = 0; second < 100; second++) {
         if (second % 20 == 0 && second < 80) {
           history.crash(second / 20, awayMs);
         }
-        history.calm(1000);
+        history.runFor(1000);
         assertThat(history.furthestBehindMs()).as("seed %d", seed).isLessThan(3000);
       }
-      assertThat(history.broken).isEmpty();
+      assertThat(history.violations).isEmpty();
     }
   }
 
   /** While all hear each other, an outage holds no watermark up, whatever was told before it. */
   @Test
-  void anOutageHoldsNobodyUpWhoHearsAllOthers() {
+  void anOutageDoesNotBlockTheWatermarkOfConnectedPeers() {
     for (long seed = 1; seed <= 20; seed++) {
-      ToldHistories history = new ToldHistories(seed, Plant.NONE);
-      history.calm(20_000);
+      CancellationHistories history = new CancellationHistories(seed, PlantedFault.NONE);
+      history.runFor(20_000);
       history.outage(120_000);
-      history.calm(3000);
+      history.runFor(3000);
       for (int second = 0; second < 110; second++) {
-        history.calm(1000);
+        history.runFor(1000);
         assertThat(history.furthestBehindMs()).as("seed %d", seed).isLessThan(1500);
       }
-      assertThat(history.broken).isEmpty();
+      assertThat(history.violations).isEmpty();
     }
   }
 }
