--- a/src/main/java/dunlincroft/admission/Admission.java
+++ b/src/main/java/dunlincroft/admission/Admission.java
@@ -15,44 +15,48 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which submissions are let in while more come than the state service's changes bear. All
- * controllers tell each other what is asked of them and make the same plan of it ({@link Plan});
- * each admits its own part. Who is refused is told when its turn is, and is known again at any
- * controller. Nobody is held back: every submission is answered at once.
+ * Admission control: decides which submissions are accepted while more arrive than the write rate
+ * of the state service allows. All controllers exchange their load and compute the same {@link
+ * Plan} from it; each admits its own part. A refused submission is told when to retry; that
+ * reservation is known to all controllers, so the retry is recognised at any of them. No submission
+ * is queued here: each is answered at once.
  *
- * <p>It decides about order and time only; whether a job is accepted is decided by a guarded write.
- * All times are of one steady clock, in milliseconds. It does no I/O.
+ * <p>This class only decides when a submission is tried. Whether a job is accepted is decided by a
+ * guarded write. All times are in milliseconds of one monotonic clock. No I/O is done here.
  */
 public final class Admission {
   private static final Logger LOG = LoggerFactory.getLogger(Admission.class);
 
-  /** The name of all flows that a beat has no room for. */
+  /** Stands for all traffic classes that do not fit into a heartbeat. */
   private static final String OTHER_CLASSES = "*";
 
-  /** What becomes of a submission now: it is tried, or comes again in so many seconds. */
+  /**
+   * The decision on a submission: it is tried now, or it is to be retried after {@code retryAfterS}
+   * seconds.
+   */
   public record Verdict(boolean admitted, int retryAfterS) {
     static final Verdict ADMITTED = new Verdict(true, 0);
   }
 
-  /** What a flow has asked for here, and when its next turn is. */
+  /** Load of one traffic class at this controller, and its retry slots. */
   private static final class ClassState {
-    /** Submissions that came for the first time, a second; smoothed. */
+    /** First submissions (retries not counted) per second, smoothed. */
     double requestRate;
 
     int arrivals;
 
-    /** Submissions let in here, a second; smoothed. */
+    /** Submissions admitted at this controller per second, smoothed. */
     double admittedRate;
 
     int recentlyAdmitted;
 
-    /** Up to here turns are given away. */
+    /** Retry slots before this time are already reserved. */
     double reservedUntil;
 
     int admitted;
     int refused;
 
-    /** Those that were told to come later, and have not come yet. */
+    /** Refused submissions with a reserved slot that have not been retried yet. */
     int pendingRetries;
   }
 
@@ -64,10 +68,12 @@
   private Plan plan;
   private int deferredSincePlan;
 
-  /** Where more of the plan's users are at our door than our part of the rate bears: less of it. */
+  /** Reduces this controller's planned rates where they add up to more than its own capacity. */
   private double scale = 1;
 
-  /** What flows would get of the present plan if they wanted everything, as far as asked for. */
+  /**
+   * Cache for the current plan: the rate that each class would get if its demand were unlimited.
+   */
   private final Map<TrafficClass, Double> saturatedRates = new HashMap<>();
 
   private double localCapacity;
@@ -75,8 +81,9 @@
   private long overloadedAt = Long.MIN_VALUE / 2;
 
   /**
-   * @param self our name
-   * @param weight of a team, above 0: what it gets beside others that want more than there is
+   * @param self name of this controller
+   * @param weight weight of a team, above 0, in the shares of teams that ask for more than is
+   *     available
    */
   public Admission(String self, ToDoubleFunction<String> weight) {
     this.self = self;
@@ -84,9 +91,9 @@
     plan = Plan.of(0, Map.of(), weight);
   }
 
-  // ---- the picture ----
+  // ---- load snapshot ----
 
-  /** Another controller's load, with the promises that it made. */
+  /** Takes in another controller's load and the reservations that it made. */
   public void loadReceived(String node, Load load, long nowMs) {
     snapshot.update(node, load, nowMs);
     for (Promise promise : load.promises()) {
@@ -94,12 +101,12 @@
     }
   }
 
-  /** What we tell the others. */
+  /** The load and the new reservations of this controller, to be sent to its peers. */
   public Load load(long nowMs) {
     return new Load(localCapacity, reportedClasses(), reservations.announced(nowMs));
   }
 
-  /** The flows that ask for most; those beyond a beat's room are told of together. */
+  /** The classes with the highest demand; those that do not fit into a heartbeat are summed up. */
   private List<Flowing> reportedClasses() {
     List<Flowing> classes = new ArrayList<>();
     states.forEach(
@@ -131,9 +138,9 @@
   }
 
   /**
-   * Makes the plan anew; called a few times a second.
+   * Recomputes the plan; called a few times a second.
    *
-   * @param acceptsPerSecond acceptances a second that we can bear
+   * @param acceptsPerSecond acceptances a second that this controller can write
    */
   public void tick(double acceptsPerSecond, long nowMs) {
     double seconds = Math.max(0.001, (nowMs - tickedAt) / 1000.0);
@@ -150,7 +157,8 @@
               state.admittedRate =
                   state.admittedRate * decay + state.recentlyAdmitted / seconds * (1 - decay);
               state.recentlyAdmitted = 0;
-              // Whoever was told to come and did not has given up, or was served elsewhere.
+              // Users that did not retry at their slot have given up or were served by another
+              // controller.
               state.pendingRetries =
                   state.reservedUntil + Constants.PROMISE_LATE_MS < nowMs
                       ? 0
@@ -178,7 +186,7 @@
     scale = plannedRate > localCapacity ? localCapacity / plannedRate : 1;
   }
 
-  /** We stood still: what the others told is as old as that. */
+  /** Called after this process was paused: the loads received before the pause are out of date. */
   public void pauseDetected() {
     snapshot.reset();
   }
@@ -186,11 +194,14 @@
   // ---- submissions ----
 
   /**
-   * A submission comes. Without overload it is tried. Else it is its turn, or it learns when that
-   * is: in its flow's line, by the flow's part of the plan. Lines are no longer than users wait;
-   * beyond that one is told to come once more, and then goes before those that come anew.
+   * Decides on a submission. Without overload it is admitted. Under overload it is admitted if its
+   * slot is due, if its class has no slots reserved ahead, or if the wait is short and its class is
+   * within its planned rate. Else it gets a slot at the end of the queue of slots of its class,
+   * which advances at the class's planned rate. Slots are given only as far ahead as users are
+   * willing to wait. Beyond that a submission gets a retry time without a slot; the end of each
+   * queue of slots is kept for such retries, so that they go before new submissions.
    *
-   * @param waitMs how long its write would wait for the state service's budget
+   * @param waitMs how long its write would wait for the rate limit of the state service
    */
   public Verdict offer(String job, TrafficClass trafficClass, long waitMs, long nowMs) {
     long id = Hashing.of(job);
@@ -210,8 +221,9 @@
       overloadedAt = nowMs;
     }
     boolean isOverloaded = nowMs - overloadedAt < Constants.OVERLOAD_MS;
-    // Half of the wait that users bear is open to whoever comes, so that nothing is wasted and a
-    // short crowd is not sent away; the other half is for those who are within their part.
+    // The first half of the acceptable wait is open to every class that is within its planned rate,
+    // so that capacity is not wasted and a short burst is not refused. The second half is kept for
+    // submissions that come at their slot.
     if (!isOverloaded || (waitMs <= Constants.ANSWER_MS / 2 && isWithinPlan(trafficClass, state))) {
       if (isOverloaded && !hasReservation) {
         state.reservedUntil = Math.max(state.reservedUntil, nowMs) + 1000 / rate(trafficClass);
@@ -247,8 +259,8 @@
   }
 
   /**
-   * Whether a flow has not had more than the plan's part of late: who comes again most often must
-   * not take what is open to all.
+   * Whether a class has recently been admitted at no more than its planned rate, so that classes
+   * that retry most often cannot take the capacity that is open to all.
    */
   private boolean isWithinPlan(TrafficClass trafficClass, ClassState state) {
     double totalDemand = snapshot.demand(trafficClass);
@@ -260,9 +272,11 @@
   }
 
   /**
-   * Acceptances a second that a flow may have here: our part of what the plan would give it if it
-   * wanted everything, so that who asks for less than that is soon served, and never less than an
-   * even part of the floor. Our part of the state service's rate is the bound with any picture.
+   * Acceptances a second that a class gets at this controller: its local part of the rate that the
+   * plan would give it if its demand were unlimited, so that a class that asks for less is served
+   * quickly. It is never less than an even part of the minimum for all classes with pending
+   * retries, and never more than this controller's part of the state service's rate, whatever the
+   * snapshot says.
    */
   private double rate(TrafficClass trafficClass) {
     double totalDemand = snapshot.demand(trafficClass);
@@ -274,8 +288,8 @@
     long backloggedClasses =
         states.values().stream().filter(state -> state.pendingRetries > 0).count();
     double minRate = localCapacity * Constants.LINES_PART / Math.max(1, backloggedClasses);
-    // While the plan leaves much of it unserved, a flow's line moves at the plan's pace: else it
-    // would take what goes before all ranks from the others.
+    // While the plan leaves much of the demand unserved, slots advance at the planned rate. A
+    // higher rate would use up the capacity that is guaranteed to the other classes.
     double classRate =
         plan.rate(trafficClass) < Constants.SHORT_OF_DEMAND * totalDemand
             ? plan.rate(trafficClass)
@@ -302,7 +316,10 @@
     return new Verdict(false, Math.max(Constants.RETRY_AFTER_S, Math.min(maxSeconds, seconds)));
   }
 
-  /** The write of one that was let in found no budget after all: it comes again soon. */
+  /**
+   * Called when the write of an admitted submission found no free rate budget: returns after how
+   * many seconds it is to be retried.
+   */
   public int retryLater(String job, TrafficClass trafficClass, long nowMs) {
     overloadedAt = nowMs;
     ClassState state = states.computeIfAbsent(trafficClass, f -> new ClassState());
@@ -315,7 +332,7 @@
     return refuse(trafficClass, state, nowMs, nowMs).retryAfterS;
   }
 
-  /** It is accepted, or can never be: its promise is kept. */
+  /** Called when the job is accepted or can never be: removes its reservation. */
   public void settled(String job, TrafficClass trafficClass) {
     long id = Hashing.of(job);
     ClassState state = states.get(trafficClass);
@@ -325,7 +342,7 @@
     reservations.discard(id);
   }
 
-  /** One line for each flow that was refused since the last call, for operators. */
+  /** Logs one line for each class that was refused since the last call. */
   public void log() {
     states.forEach(this::log);
   }
--- a/src/main/java/dunlincroft/admission/LoadSnapshot.java
+++ b/src/main/java/dunlincroft/admission/LoadSnapshot.java
@@ -8,15 +8,16 @@
 import java.util.TreeMap;
 
 /**
- * What all controllers have told of their load lately, in seconds' worth. Of one that is not heard
- * nothing is counted: each side of a split link shares out its own part alone.
+ * The loads that all controllers reported within the last {@link Constants#PICTURE_MS}. A
+ * controller that is not heard does not count, so each side of a network partition distributes only
+ * its own capacity.
  */
 final class LoadSnapshot {
   private record Report(Load load, long receivedMs) {}
 
   private final Map<String, Report> reports = new TreeMap<>();
 
-  /** A controller tells its load; ours is told like any other. */
+  /** Stores a controller's load; this controller's own load is stored the same way. */
   void update(String node, Load load, long nowMs) {
     reports.put(node, new Report(load, nowMs));
   }
@@ -25,17 +26,17 @@
     reports.values().removeIf(each -> nowMs - each.receivedMs > Constants.PICTURE_MS);
   }
 
-  /** What was heard is as old as our standstill: it is not believed until it is heard anew. */
+  /** Drops all reports after a pause of this process: they are out of date until received again. */
   void reset() {
     reports.clear();
   }
 
-  /** Acceptances a second that all can bear together. */
+  /** Acceptances a second of all controllers together. */
   double capacity() {
     return reports.values().stream().mapToDouble(each -> each.load.admits()).sum();
   }
 
-  /** What each flow asks for of all controllers, in acceptances a second. */
+  /** Demand of each class at all controllers, in acceptances a second. */
   Map<TrafficClass, Double> demand() {
     Map<TrafficClass, Double> sum = new HashMap<>();
     for (Report each : reports.values()) {
@@ -49,12 +50,12 @@
     return sum;
   }
 
-  /** What a flow asks for of all controllers. */
+  /** Demand of a class at all controllers. */
   double demand(TrafficClass trafficClass) {
     return reports.keySet().stream().mapToDouble(node -> demand(node, trafficClass)).sum();
   }
 
-  /** What one controller tells of a flow; 0: nothing. */
+  /** Demand of a class at one controller; 0 if it reports none. */
   double demand(String node, TrafficClass trafficClass) {
     Report report = reports.get(node);
     if (report != null) {
--- a/src/main/java/dunlincroft/admission/Plan.java
+++ b/src/main/java/dunlincroft/admission/Plan.java
@@ -12,12 +12,12 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * How a capacity is shared out while more is asked for than it bears. First every flow gets half of
- * what it asks for, whatever its rank, by max-min where there is too little; then come services,
- * then the rest, each by weighted max-min over teams and, within a team, by plain max-min over
- * classes (progressive filling: Bertsekas and Gallager, Data Networks, 6.5.2). Nobody gets more
- * than it asks for, so a flood takes only what others leave. A pure function: whoever sees the same
- * picture has the same plan.
+ * How capacity is shared among traffic classes under overload. First every class is guaranteed half
+ * of its demand, regardless of rank, by max-min fairness where the capacity is too small for that.
+ * Then services are served, then all others, each by weighted max-min over teams and, within a
+ * team, by plain max-min over classes (progressive filling: Bertsekas and Gallager, Data Networks,
+ * 6.5.2). No class gets more than its demand, so a flood gets only what others leave. A pure
+ * function: controllers with the same snapshot compute the same plan.
  */
 public final class Plan {
   private final double capacity;
@@ -30,11 +30,11 @@
   }
 
   /**
-   * Makes the plan.
+   * Computes the plan.
    *
    * @param capacity acceptances a second, of all controllers together
-   * @param demand what each flow asks for, in acceptances a second
-   * @param weight of a team, above 0
+   * @param demand demand of each class, in acceptances a second
+   * @param weight weight of a team, above 0
    */
   public static Plan of(
       double capacity, Map<TrafficClass, Double> demand, ToDoubleFunction<String> weight) {
@@ -78,15 +78,16 @@
   }
 
   /**
-   * What goes before all ranks, of a sum of first parts: all of it while it fits, and less the more
-   * it is beyond the capacity, down to the floor, so that no estimate's flutter turns the plan.
+   * Capacity for the guaranteed parts, of which {@code sum} is wanted: all of it while it fits, and
+   * less the more it exceeds the capacity, down to the floor. The gradual reduction keeps small
+   * changes of the estimated demand from changing the plan abruptly.
    */
   private static double guaranteedCapacity(double sum, double capacity) {
     double excess = Math.max(0, sum - capacity);
     return Math.min(sum, Math.max(Constants.ADMISSION_FLOOR * capacity, capacity - excess));
   }
 
-  /** Shares out among the flows of one rank; returns what they took. */
+  /** Shares capacity among the classes of one rank; returns how much they were granted. */
   private double shareByTeam(
       List<TrafficClass> classes,
       boolean prod,
@@ -121,7 +122,10 @@
     return totalGranted;
   }
 
-  /** Weighted max-min: nobody above its demand, and all below it at one level of part by weight. */
+  /**
+   * Weighted max-min: nobody gets more than its demand, and all that get less have the same ratio
+   * of share to weight.
+   */
   static double[] weightedMaxMin(double capacity, double[] demand, double[] weight) {
     List<Integer> order = new ArrayList<>();
     double remainingWeight = 0;
@@ -146,17 +150,20 @@
         & Integer.MAX_VALUE;
   }
 
-  /** Acceptances a second of a flow; 0 for one that asked for nothing. */
+  /** Acceptances a second of a class; 0 for one without demand. */
   public double rate(TrafficClass trafficClass) {
     return rates.getOrDefault(trafficClass, 0);
   }
 
-  /** What was shared out. */
+  /** The capacity that was shared. */
   public double capacity() {
     return capacity;
   }
 
-  /** Equal on all controllers that see the same picture: an answer can be traced to its plan. */
+  /**
+   * Hash of the inputs, equal on all controllers with the same snapshot: it identifies the plan in
+   * the logs.
+   */
   public int fingerprint() {
     return fingerprint;
   }
--- a/src/main/java/dunlincroft/admission/RetryReservations.java
+++ b/src/main/java/dunlincroft/admission/RetryReservations.java
@@ -10,13 +10,14 @@
 import java.util.List;
 
 /**
- * Whose turn is when, of those who were refused: by hash of the job's id, bounded in number and
- * age. Kept at every controller, so that a retry is known wherever the balancer leads it.
+ * When refused submissions may be retried, by hash of the job's id; bounded in number and age.
+ * Reservations are sent to all controllers, so that a retry is recognised wherever the load
+ * balancer sends it.
  */
 final class RetryReservations {
   private final Long2LongLinkedOpenHashMap dueAt = new Long2LongLinkedOpenHashMap();
 
-  /** Those that have no turn yet: they come again, and are then given one. */
+  /** Jobs with a retry time but without a slot; they get a slot when they are retried. */
   private final LongOpenHashSet tentative = new LongOpenHashSet();
 
   private final Deque<Announcement> announcements = new ArrayDeque<>();
@@ -27,12 +28,12 @@
     dueAt.defaultReturnValue(-1);
   }
 
-  /** When a job's turn is, by our clock; -1: no promise is known. */
+  /** When a job is to be retried, by this controller's clock; -1 if no reservation is known. */
   long dueAt(long job) {
     return dueAt.get(job);
   }
 
-  /** We promise; the others are told. */
+  /** Makes a reservation, which is then sent to the other controllers. */
   void reserve(long job, long dueMs, boolean withoutSlot, long nowMs) {
     discard(job);
     store(job, dueMs, withoutSlot);
@@ -42,7 +43,9 @@
     }
   }
 
-  /** A promise made here or told by another controller; a turn stays as it was first given. */
+  /**
+   * Stores a reservation made here or received from a peer. A slot that was given is not changed.
+   */
   void store(long job, long dueMs, boolean withoutSlot) {
     if (!dueAt.containsKey(job) || (tentative.contains(job) && !withoutSlot)) {
       dueAt.put(job, dueMs);
@@ -62,12 +65,12 @@
     tentative.remove(job);
   }
 
-  /** Whether a job's user was told to come again without being given a turn. */
+  /** Whether a job has a retry time but no slot. */
   boolean isTentative(long job) {
     return tentative.contains(job);
   }
 
-  /** Forgets those whose users have long given up, and after which nobody asks. */
+  /** Drops reservations whose users have given up by now. */
   void expire(long nowMs) {
     while (!dueAt.isEmpty()
         && dueAt.get(dueAt.firstLongKey()) + Constants.PROMISE_KEPT_MS < nowMs) {
@@ -76,8 +79,8 @@
   }
 
   /**
-   * What we promised of late, in milliseconds from now. Each is told in several beats, as a beat
-   * may be lost, and every link has its own.
+   * The reservations made recently, with times in milliseconds from now. Each is sent in several
+   * heartbeats, because a heartbeat may be lost and each peer has its own connection.
    */
   List<Promise> announced(long nowMs) {
     while (!announcements.isEmpty()
--- a/src/main/java/dunlincroft/admission/TrafficClass.java
+++ b/src/main/java/dunlincroft/admission/TrafficClass.java
@@ -1,4 +1,7 @@
 package dunlincroft.admission;
 
-/** The jobs of one class of one team: what admission tells apart. */
+/**
+ * The submissions of one team and job class, services apart from other jobs: the unit of admission
+ * control.
+ */
 public record TrafficClass(String team, String jobclass, boolean prod) {}
--- a/src/main/java/dunlincroft/limits/SharePlan.java
+++ b/src/main/java/dunlincroft/limits/SharePlan.java
@@ -9,16 +9,16 @@
 import java.util.TreeMap;
 
 /**
- * Decides which shards give unused parts of one team's limit to which others. A pure function of
- * the records, so that all owners of shards come to the same plan from the same records: claims are
- * served in one order, and whatever is unused anywhere is gathered at the shard of the first claim
- * that lacks it. Memory is no part of a limit and is left out of all sums.
+ * Decides which shards transfer unused parts of a team's limit to which others. A pure function of
+ * the records, so that all shard owners compute the same plan: requests are served in one order,
+ * and unused parts of all shards are moved to the shard of the first request that lacks capacity.
+ * Memory is not limited and is left out of all sums.
  */
 public final class SharePlan {
   private final Map<String, Room> unused = new TreeMap<>();
   private final Map<String, Room> reserved = new HashMap<>();
 
-  /** What no claim has reserved yet, of all shards together. */
+  /** Unused capacity of all shards together that no request has reserved yet. */
   private Room unreserved = Room.NONE;
 
   private SharePlan(Map<String, Room> parts, Map<String, Room> used) {
@@ -33,12 +33,12 @@
   }
 
   /**
-   * Plans for one team.
+   * Plans the transfers for one team.
    *
    * @param parts each shard's part of the limit
-   * @param used what the tasks of each shard take of it
-   * @param work what all open work of each shard takes, running work included
-   * @param requests waiting tasks, who is served first first
+   * @param used the resources of each shard's running tasks
+   * @param work the resources of all unfinished work of each shard, running tasks included
+   * @param requests waiting tasks, in the order in which they are served
    */
   public static List<Transfer> transfers(
       Map<String, Room> parts,
@@ -54,7 +54,7 @@
     return plan.match(shortage);
   }
 
-  /** Every claim gets one task's room, in order, before any gets more. */
+  /** Reserves one task for every request, in order, before any request gets more. */
   private void reserve(List<ShareRequest> requests) {
     for (ShareRequest request : requests) {
       reserve(request, Math.min(1, request.tasks()));
@@ -71,7 +71,7 @@
     reserved.merge(request.shard(), task.times(tasks), Room::plus);
   }
 
-  /** What shards lack for the tasks that they have reserved room for. */
+  /** What shards lack for the tasks that they have reserved capacity for. */
   private Map<String, Room> shortfalls() {
     Map<String, Room> shortage = new TreeMap<>();
     reserved.forEach(
@@ -85,9 +85,10 @@
   }
 
   /**
-   * When nobody waits for a part, what is left goes by the open work, so that new tasks find a part
-   * at their own shard. A shard whose part covers all its work, or that has half of its due, asks
-   * for nothing: two shards would give the same part to and fro.
+   * Used when no request lacks capacity: distributes what is unreserved in proportion to unfinished
+   * work, so that new tasks can start at their own shard at once. A shard whose part covers all of
+   * its work, or that has at least half of its target, gets nothing; otherwise two shards would
+   * transfer the same part back and forth.
    */
   private Map<String, Room> shareByWork(Map<String, Room> parts, Map<String, Room> work) {
     Map<String, Room> shortage = new TreeMap<>();
@@ -108,7 +109,7 @@
                 needsGpu ? target.gpu() - current.gpu() : 0,
                 0));
       }
-      // Nobody gives below its own due.
+      // No shard gives away what it needs for its own target.
       reserved.merge(
           shard,
           new Room(Math.min(current.cpu(), target.cpu()), Math.min(current.gpu(), target.gpu()), 0),
@@ -117,13 +118,15 @@
     return shortage;
   }
 
-  /** What a shard has beyond what is reserved there. */
+  /** What a shard has unused beyond what is reserved for it. */
   private Room available(String shard) {
     Room unusedHere = unused.getOrDefault(shard, Room.NONE);
     return nonNegative(unusedHere.minus(reserved.getOrDefault(shard, Room.NONE)));
   }
 
-  /** Who has the most beyond its own claims gives first: so few changes as can be. */
+  /**
+   * Shards with the most available capacity give first, which keeps the number of transfers low.
+   */
   private List<Transfer> match(Map<String, Room> shortage) {
     List<Transfer> transfers = new ArrayList<>();
     Map<String, Room> unmet = new TreeMap<>(shortage);
@@ -156,7 +159,10 @@
     return new Room(Math.min(one.cpu(), other.cpu()), Math.min(one.gpu(), other.gpu()), 0);
   }
 
-  /** The part of a room that goes by work; in doubles, as limits may be as good as none. */
+  /**
+   * The part of the resources in proportion to work. Computed in doubles, because limits can be so
+   * large that a product of longs would overflow.
+   */
   private static Room proportion(Room resources, Room work, Room totalWork) {
     return new Room(
         totalWork.cpu() == 0 ? 0 : (long) ((double) resources.cpu() * work.cpu() / totalWork.cpu()),
--- a/src/main/java/dunlincroft/limits/ShareRequest.java
+++ b/src/main/java/dunlincroft/limits/ShareRequest.java
@@ -3,11 +3,11 @@
 import dunlincroft.protocol.Room;
 
 /**
- * Tasks of one job that wait for a part of their team's limit alone: machines of their shard have
- * room for them.
+ * Tasks of one job that wait only for a part of their team's limit: machines of their shard have
+ * free capacity for them.
  *
  * @param shard the shard that owns the job
- * @param taskResources what each task takes
+ * @param taskResources resources of each task
  * @param tasks how many of them could start at once
  */
 public record ShareRequest(String shard, Room taskResources, int tasks) {}
--- a/src/main/java/dunlincroft/limits/package-info.java
+++ b/src/main/java/dunlincroft/limits/package-info.java
@@ -1,5 +1,6 @@
 /**
- * How a team's limit is split over shards. Each shard's part is kept in one record of the state
- * service; parts move between shards by need, as {@link dunlincroft.limits.SharePlan} decides.
+ * Distribution of a team's limit over shards. Each shard's part is kept in one record of the state
+ * service; parts are transferred between shards by need, as decided by {@link
+ * dunlincroft.limits.SharePlan}.
  */
 package dunlincroft.limits;
--- a/src/main/java/dunlincroft/membership/BlockLeases.java
+++ b/src/main/java/dunlincroft/membership/BlockLeases.java
@@ -14,7 +14,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The leader's leases: which shards have machines, and so which jobs. */
+/**
+ * The leader's leases of machine blocks to shards: they determine which shards have machines, and
+ * so which own jobs.
+ */
 final class BlockLeases {
   private static final Logger LOG = LoggerFactory.getLogger(BlockLeases.class);
   private static final String RECORD_NAME = "one";
@@ -29,12 +32,12 @@
     return context.replica().get(Replica.LEASES, RECORD_NAME);
   }
 
-  /** Stamp of the record: it changes with every renewal. */
+  /** Stamp of the record; it changes with every renewal. */
   long stamp() {
     return context.replica().stamp(Replica.LEASES, RECORD_NAME);
   }
 
-  /** Shards that blocks are leased to at present; jobs are shared out among them. */
+  /** Shards that blocks are leased to at present; new jobs are distributed among them. */
   List<String> currentShards() {
     List<String> shards = new ArrayList<>();
     if (leasesRecord() != null) {
@@ -43,7 +46,10 @@
     return shards;
   }
 
-  /** The owner of a new job: the lease holder that the hash of its id and name favours. */
+  /**
+   * The shard that owns a new job, chosen among the leased shards by rendezvous hashing of the
+   * job's id; null without leases.
+   */
   String shardForJob(String job) {
     String best = null;
     long bestHash = 0;
@@ -58,9 +64,10 @@
   }
 
   /**
-   * The leader renews the leases, and leases to more holders as the machines grow in number.
+   * Renews the leases as the leader, and adjusts the number of leased shards to the number of
+   * machines.
    *
-   * @param leaderTxn carries the guard under which a leader writes
+   * @param leaderTxn carries the guard that fails unless this node leads
    */
   void renew(Txn leaderTxn, List<String> names, int machines, int machinesPerShard) {
     List<String> shards = currentShards();
--- a/src/main/java/dunlincroft/membership/FailureDetector.java
+++ b/src/main/java/dunlincroft/membership/FailureDetector.java
@@ -12,35 +12,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who of the other controllers is there, as far as beats, what others hear, refused connections and
- * records can tell. It decides when somebody acts, never whether that is safe. Suspicion is graded
- * and learnt (φ accrual), shared and refuted (SWIM: Das, Gupta, Motivala, 2002), and weighed by our
- * own health (Lifeguard: Dadgar, Phillips, Currey, 2018); docs/membership.md says what of each.
+ * Judges which other controllers are alive, from heartbeats, the observations of peers, refused
+ * connections and written records. It decides when a node acts, never whether that is safe.
+ * Suspicion grows with silence relative to learnt heartbeat intervals (φ accrual), is shared and
+ * can be refuted (SWIM: Das, Gupta, Motivala, 2002), and is weighted by the health of this node
+ * itself (Lifeguard: Dadgar, Phillips, Currey, 2018); docs/membership.md says what is used of each.
  *
- * <p>All times are of one steady clock, in milliseconds. It does no I/O and asks nobody.
+ * <p>All times are in milliseconds of one monotonic clock. No I/O is done here.
  */
 public final class FailureDetector {
   private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
 
-  /** What is known of one peer. */
+  /** State of one peer. */
   private static final class Peer {
     final HeartbeatIntervals intervals = new HeartbeatIntervals();
     Beat heartbeat;
     long heartbeatAt;
 
-    /** The highest it has named: a later life has a higher one, and none before its first hold. */
+    /**
+     * The highest incarnation seen: a restarted process has a higher one, or 0 until it has its
+     * first session lease.
+     */
     long incarnation;
 
-    /** The last sign of life of any kind: a beat, a refutation by way of another, a record. */
+    /**
+     * The last sign of life of any kind: a heartbeat, a refutation relayed by a peer, or a record.
+     */
     long aliveAt;
 
     boolean refused;
     PeerState state = PeerState.TRUSTED;
 
-    /** Condemned because its process has ended, not only for its silence. */
+    /** Condemned because its process has ended, not only because it is silent. */
     boolean processEnded;
 
-    /** How often it has refuted, as it last told us itself. */
+    /** Number of its refutations, as in its last heartbeat. */
     long refutations() {
       return heartbeat == null ? 0 : heartbeat.count();
     }
@@ -49,7 +55,10 @@
   private final String self;
   private final Map<String, Peer> peers = new TreeMap<>();
 
-  /** Lifeguard's local health: 0 is well; each step makes us wait for longer before we suspect. */
+  /**
+   * Lifeguard's local health multiplier: 0 is healthy; each step lengthens the time before a peer
+   * is suspected.
+   */
   private int localHealth;
 
   private long healthChangedAt;
@@ -69,7 +78,7 @@
 
   // ---- evidence ----
 
-  /** A beat came. */
+  /** Takes in a peer's heartbeat. */
   public void heartbeatReceived(Beat heartbeat, long nowMs) {
     Peer peer = peers.get(heartbeat.node());
     if (peer == null) {
@@ -78,7 +87,7 @@
     if (peer.heartbeat != null
         && heartbeat.incarnation() != 0
         && heartbeat.incarnation() < peer.incarnation) {
-      return; // A former life's, held back on its way: it says nothing about this one.
+      return; // A delayed heartbeat of an earlier incarnation.
     }
     boolean isSameIncarnation =
         peer.heartbeat != null && peer.heartbeat.incarnation() == heartbeat.incarnation();
@@ -99,7 +108,10 @@
     }
   }
 
-  /** Another one hears a peer that has said more often than we knew that it is there. */
+  /**
+   * A peer reports on another one: a number of refutations higher than known here proves that it is
+   * alive.
+   */
   private void relayReceived(String from, Hearing observation, long nowMs) {
     Peer peer = peers.get(observation.node());
     if (peer != null
@@ -111,8 +123,8 @@
   }
 
   /**
-   * A record that only this peer writes has changed. News of the records lag: what is seen soon
-   * after its last beat may have been written before it ended.
+   * A record that only this peer writes has changed. Records are read with a delay: a change that
+   * is seen soon after the last heartbeat may have been written before the peer ended.
    */
   public void recordWritten(String node, long nowMs) {
     Peer peer = peers.get(node);
@@ -121,7 +133,7 @@
     }
   }
 
-  /** Its connections are refused, or no longer are. */
+  /** The peer refuses connections, or no longer does. */
   public void connectionRefused(String node, boolean refused) {
     Peer peer = peers.get(node);
     if (peer != null) {
@@ -137,7 +149,10 @@
     }
   }
 
-  /** We heard nobody for so long because we stood still: that is nobody else's silence. */
+  /**
+   * This process was paused for {@code ms}: its peers could not be heard, so that time does not
+   * count as their silence.
+   */
   public void pauseDetected(long ms, long nowMs) {
     for (Peer peer : peers.values()) {
       peer.heartbeatAt = Math.min(nowMs, peer.heartbeatAt + ms);
@@ -146,15 +161,15 @@
     ticksDelayed(nowMs);
   }
 
-  /** Our own clockwork ran late: what we believe of others is worth less for a while. */
+  /** Ticks of this process ran late: suspicions of others are less reliable for a while. */
   public void ticksDelayed(long nowMs) {
     localHealth = Math.min(Constants.UNWELL_MOST, localHealth + 1);
     healthChangedAt = nowMs;
   }
 
-  // ---- verdicts ----
+  // ---- evaluation ----
 
-  /** Looks at everybody; called a few times a second. */
+  /** Evaluates all peers; called a few times a second. */
   public void tick(long nowMs) {
     if (localHealth > 0 && nowMs - healthChangedAt >= Constants.HEAL_MS) {
       localHealth--;
@@ -213,13 +228,13 @@
     return 2 * votes > peers.size() + 1;
   }
 
-  /** From so many milliseconds of silence on no pause explains it, by all that is learnt. */
+  /** Milliseconds of silence that no pause explains, given the intervals learnt. */
   private double condemnAfterMs(Peer peer) {
     return Math.max(Constants.PEER_LOST_MS, suspectAfterMs(peer));
   }
 
   private double suspectAfterMs(Peer peer) {
-    // Whatever ails us, it is not we who refuse its connections.
+    // Refused connections are no symptom of trouble on this node.
     return (peer.refused ? 1 : 1 + localHealth) * peer.intervals.suspectAfterMs(peer.refused);
   }
 
@@ -235,9 +250,9 @@
     return null;
   }
 
-  // ---- what is asked ----
+  // ---- queries ----
 
-  /** What is believed of a peer; ourselves we trust. */
+  /** State of a peer; this node counts itself as trusted. */
   public PeerState state(String node) {
     Peer peer = peers.get(node);
     return peer == null ? PeerState.TRUSTED : peer.state;
@@ -249,29 +264,29 @@
   }
 
   /**
-   * Whether a peer is condemned because most of us are refused by it: no pause and no cut looks
-   * like that, and nobody who is gone can take anything back.
+   * Whether a peer is condemned because the majority of controllers are refused by it. Neither a
+   * pause nor a network partition looks like that, and a process that has ended cannot refute it.
    */
   boolean hasEnded(String node) {
     return state(node) == PeerState.CONDEMNED && peers.get(node).processEnded;
   }
 
-  /** The last beat of a peer, or null. */
+  /** The last heartbeat of a peer, or null. */
   Beat heartbeat(String node) {
     Peer peer = peers.get(node);
     return peer == null ? null : peer.heartbeat;
   }
 
   /**
-   * Whether we hear less than half of the others, or did a moment ago: then it is probably we who
-   * are in trouble. After a cut of ours the others are heard again one by one, and the last of them
-   * has not failed.
+   * Whether less than half of the peers are trusted, or were a moment ago: then the fault is
+   * probably on this node. After a partition of this node peers are heard again one by one, and the
+   * last of them has not failed.
    */
   boolean isIsolated() {
     return isolated;
   }
 
-  /** What we tell others of everybody. */
+  /** Observations of all peers, to be sent with heartbeats. */
   public List<Hearing> observations(long nowMs) {
     List<Hearing> observations = new ArrayList<>(peers.size());
     peers.forEach(
@@ -289,7 +304,9 @@
     return observations;
   }
 
-  /** Whether one that we trust suspects a peer, at a count no lower than we know. */
+  /**
+   * Whether a trusted peer suspects another at a number of refutations no lower than known here.
+   */
   private boolean isSuspectedByPeer(String node, long count) {
     for (Peer other : peers.values()) {
       Hearing observation = observation(other, node);
@@ -303,7 +320,7 @@
     return false;
   }
 
-  /** The highest count of ours at which somebody suspects us; -1: nobody does. */
+  /** The highest number of this node's refutations at which a peer suspects it; -1 if none does. */
   long highestSuspicionOfSelf() {
     long highest = -1;
     for (Peer other : peers.values()) {
--- a/src/main/java/dunlincroft/membership/HeartbeatIntervals.java
+++ b/src/main/java/dunlincroft/membership/HeartbeatIntervals.java
@@ -5,8 +5,8 @@
 import org.apache.commons.statistics.distribution.NormalDistribution;
 
 /**
- * How regular a peer's beats usually are: a window of its last intervals, and from it how unlikely
- * a silence is. The estimate is the φ accrual detector's (Hayashibara, Défago, Yared, Katayama,
+ * How regular a peer's heartbeats are: a window of its last intervals, from which the probability
+ * of a silence is estimated as in the φ accrual detector (Hayashibara, Défago, Yared, Katayama,
  * "The φ Accrual Failure Detector", 2004), with a normal distribution.
  */
 final class HeartbeatIntervals {
@@ -17,7 +17,7 @@
   private int next;
 
   HeartbeatIntervals() {
-    // Before anything is learnt: beats as asked for, now and then one that comes twice as late.
+    // Initial values: the configured interval, and every eighth heartbeat twice as late.
     Arrays.fill(window, Constants.LINK_BEAT_MS);
     for (int i = 0; i < window.length; i += 8) {
       window[i] = 2 * Constants.LINK_BEAT_MS;
@@ -25,8 +25,9 @@
   }
 
   /**
-   * An interval, in milliseconds. The gap left by a peer that was gone teaches nothing, nor do
-   * beats that were held back and come all at once: they would make it seem quicker than it is.
+   * Adds an interval, in milliseconds. Gaps left by a peer that was down are ignored, and so are
+   * delayed heartbeats that arrive all at once: they would make the peer seem more regular and
+   * faster than it is.
    */
   void add(long ms) {
     if (ms >= Constants.LINK_BEAT_MS / 2 && ms <= Constants.PAUSE_MS) {
@@ -49,15 +50,15 @@
   }
 
   /**
-   * Milliseconds of silence from which on the peer is suspected; less is enough of one that refuses
-   * connections as well.
+   * Milliseconds of silence after which the peer is suspected; fewer if it refuses connections as
+   * well.
    */
   double suspectAfterMs(boolean refused) {
     double mean = mean();
     return mean + (refused ? REFUSED_DEVIATIONS : SILENT_DEVIATIONS) * deviation(mean);
   }
 
-  /** Minus the decimal logarithm of how likely a peer that is well is silent for so long. */
+  /** Minus the decimal logarithm of the probability that a healthy peer is silent for so long. */
   double phi(double silentMs) {
     double mean = mean();
     double survival = NormalDistribution.of(mean, deviation(mean)).survivalProbability(silentMs);
--- a/src/main/java/dunlincroft/membership/Leadership.java
+++ b/src/main/java/dunlincroft/membership/Leadership.java
@@ -9,7 +9,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Who leads: the node that the leader's record names, as long as its hold lives. */
+/**
+ * Leader election: the leader is the node named by the leader's record, which exists as long as
+ * that node's session lease.
+ */
 final class Leadership {
   private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
   private static final String RECORD_NAME = "one";
@@ -44,15 +47,16 @@
     return leaderRecord() == null ? null : leaderRecord().data().path("name").asText(null);
   }
 
-  /** Stamp of the leader's record; 0 without one. */
+  /** Stamp of the leader's record; 0 if there is none. */
   long stamp() {
     return context.replica().stamp(Replica.LEADER, RECORD_NAME);
   }
 
   /**
-   * Adds the guard under which a leader writes. Who does not lead gets one that nothing meets: the
-   * record's stamp would be the present leader's, and a deposed one's late answers from the cloud
-   * once became blocks under it, beside those that its successor made of the same machines.
+   * Adds the guard under which a leader writes. A node that does not lead adds a guard that always
+   * fails. With the record's stamp it would write under the guard of the present leader: a deposed
+   * leader that received late answers from the cloud could then add blocks for machines that its
+   * successor has already put into others.
    */
   Txn guardAsLeader(Txn txn) {
     return txn.guard(
@@ -64,10 +68,10 @@
   }
 
   /**
-   * Stands for the lead when nobody has it, and does not wait for the hold of one to end that is
-   * gone for certain or as good as certain: what a leader writes is guarded by the record's stamp.
-   * Who holds machines had better lead: it alone knows which of them are silent, sick or leaving,
-   * and whoever rents without that rents too few.
+   * Stands for election when there is no leader. It does not wait for the session lease of a
+   * condemned leader to expire: this is safe, as a leader's writes are guarded by the record's
+   * stamp. Nodes that own machines are preferred: only they know which of them are silent, faulty
+   * or leaving, and a leader without that knowledge rents too few.
    */
   void tick(boolean ownsMachines) {
     long now = context.now();
@@ -76,12 +80,12 @@
       leaderSeenAt = now;
       String leader = leader();
       if (context.name().equals(leader) && !isLeader()) {
-        why = "we did before our restart";
+        why = "it led before its restart";
       } else if (ownsMachines && leader != null && detector.state(leader) == PeerState.CONDEMNED) {
-        why = leader + " is condemned and we hold its machines";
+        why = leader + " is condemned and this node owns its machines";
       }
     } else if (ownsMachines || now - leaderSeenAt >= Constants.ELECTION_DELAY_MS) {
-      why = "nobody does";
+      why = "there is no leader";
     }
     if (isElecting || why == null) {
       return;
--- a/src/main/java/dunlincroft/membership/LowWatermark.java
+++ b/src/main/java/dunlincroft/membership/LowWatermark.java
@@ -12,52 +12,60 @@
 import java.util.TreeMap;
 
 /**
- * The moment up to which we know every cancellation that any user was told by anybody: a low
- * watermark over the closed timestamps of all controllers (Akidau and others, MillWheel, 2013).
+ * The time up to which this node knows every cancellation that any controller has acknowledged to a
+ * user: a low watermark over the closed timestamps of all controllers (Akidau and others,
+ * MillWheel, 2013).
  *
- * <p>A reading of the state service closes all that was told before it was asked for. Beyond that
- * each other controller closes what it told itself, up to the moment at which we asked it, which is
- * our own clock's as it echoes it: if what it told is no newer than what we have read, or is handed
- * to us with its word. Only a process that was there when we last read can do so: one that has
- * begun since knows nothing of what its former life told. So a controller that is dead, mute or new
- * holds the watermark up, and so does every message that is late.
+ * <p>A read of the state service covers all cancellations acknowledged before the read was sent.
+ * Beyond that, each other controller closes its own acknowledgements up to the time at which this
+ * node's last heartbeat to it was sent, in this node's clock, which it echoes. It does so if its
+ * acknowledgements are no newer than the revision read here, or come with its heartbeat. Only a
+ * process that was running at this node's last read can close them: one started since does not know
+ * what its former instance acknowledged. So a controller that is dead, unreachable or newly started
+ * stops the watermark, and so does every delayed message.
  *
- * <p>So that one that ends in an outage does not, a controller that has been out of touch with the
- * state service for long promises with each beat that it tells of no further cancellation for
- * {@link Constants#PROMISE_MS}, or until all others have heard a later beat of it that promises
- * nothing. So does every process as it begins. A promise closes what its sender tells ahead of
- * time, and if its next life is heard before it runs out, all that the former one told is known.
+ * <p>A controller that ends during an outage of the state service should not stop it. Therefore a
+ * controller that has been disconnected from the state service for long suspends acknowledgements:
+ * each of its heartbeats announces that it acknowledges no further cancellation for {@link
+ * Constants#PROMISE_MS}, or until all others have received a later heartbeat that announces no
+ * suspension. Every process also starts suspended. A suspension closes its sender's
+ * acknowledgements in advance; if the next instance is heard before it ends, all acknowledgements
+ * of the former one are known.
  *
- * <p>All times are of our own steady clock; ages are never compared across clocks.
+ * <p>All times are in milliseconds of this node's monotonic clock; times of different clocks are
+ * never compared.
  */
 final class LowWatermark {
   private static final long NEVER = Long.MIN_VALUE;
 
-  /** What is known of another controller. */
+  /** State of another controller. */
   private static final class Peer {
     private long instanceId;
 
     private long formerInstanceId;
 
-    /** When a beat of this life came first, and whether all that former lives told is known. */
+    /**
+     * When the first heartbeat of this instance came, and whether all acknowledgements of former
+     * instances are known.
+     */
     private long firstHeardAt;
 
     private boolean formerInstanceKnown;
 
-    /** The newest beat of it: its clock, its revision, and when it came. */
+    /** Its newest heartbeat: the sender's clock, the revision it had read, and when it came. */
     private long sentAt;
 
     private long revision;
     private long lastHeardAt;
     private boolean isDisconnected;
 
-    /** All that it told up to here we know. */
+    /** All of its acknowledgements up to this time are known. */
     private long closedAt = Long.MIN_VALUE;
 
-    /** From here on it promises to tell nothing more; {@link #NEVER} if it does not. */
+    /** From this time on it suspends acknowledgements; {@link #NEVER} if it does not. */
     private long suspendedAt = NEVER;
 
-    /** The newest beat of ours that it has had: our clock as that left. */
+    /** When the newest heartbeat of this node that it has received was sent. */
     private long echoedAt = NEVER;
 
     private long suspendedUntil() {
@@ -68,23 +76,26 @@
   private final String self;
   private final long instanceId;
 
-  /** The last moment at which we promised to tell nothing more. */
+  /** The last time at which this node announced that it suspends acknowledgements. */
   private long suspendedAt;
 
   private final Map<String, Peer> peers = new TreeMap<>();
 
-  /** What we told of cancellations, by the revisions that say so; those of the highest are kept. */
+  /**
+   * Jobs whose cancellation this node has acknowledged, by revision; only the highest revisions are
+   * kept.
+   */
   private final TreeMap<Long, String> acknowledged = new TreeMap<>();
 
-  /** The highest revision of a cancellation that others handed to us. */
+  /** The highest revision of a cancellation received from other controllers. */
   private long highestReceived;
 
-  /** Below this not all that we told is remembered. */
+  /** Acknowledgements up to this revision may have been dropped. */
   private long forgottenUpTo;
 
   /**
-   * @param instanceId a number that no other life of any controller has
-   * @param startedAt a moment no earlier than the beginning of this process, by its clock
+   * @param instanceId a number that no other process of any controller has
+   * @param startedAt a time no earlier than the start of this process, by its clock
    */
   LowWatermark(String self, long instanceId, long startedAt, Collection<String> others) {
     this.self = self;
@@ -93,16 +104,22 @@
     others.stream().filter(node -> !node.equals(self)).forEach(node -> peers.put(node, new Peer()));
   }
 
-  // ---- what we tell ----
+  // ---- sending ----
 
-  /** Whether a user may be told of the cancellation that a revision says, for all we promised. */
+  /**
+   * Whether a cancellation of this revision may be acknowledged: not for the first time while this
+   * node has announced a suspension.
+   */
   boolean canAcknowledge(long revision, long nowMs) {
     return acknowledged.containsKey(revision)
         || nowMs - suspendedAt > Constants.PROMISE_MS + Constants.PROMISE_MARGIN_MS
         || peers.values().stream().allMatch(peer -> peer.echoedAt > suspendedAt);
   }
 
-  /** A user is about to be told that a job is cancelled, as a revision says. */
+  /**
+   * Records that a job's cancellation, written at this revision, is about to be acknowledged to a
+   * user.
+   */
   void recordAcknowledgement(String job, long revision) {
     if (revision > forgottenUpTo) {
       acknowledged.put(revision, job);
@@ -113,8 +130,9 @@
   }
 
   /**
-   * Our word to the others. What they lack is handed on to those that say that they hear nothing
-   * from the state service. If we have heard nothing from it for long, it is a promise.
+   * The report for the next heartbeat. Acknowledged cancellations are passed on to controllers that
+   * are disconnected from the state service and have not read them. If this node has itself been
+   * disconnected for long, the report announces a suspension.
    */
   Told createReport(long nowMs, long revision, long stateSilentMs) {
     if (isSuspending(stateSilentMs)) {
@@ -141,24 +159,24 @@
     return stateSilentMs > Constants.STALE_MS;
   }
 
-  // ---- what others tell ----
+  // ---- receiving ----
 
   /**
-   * A beat came, at {@code nowMs}. All up to {@code revision} is known to us, and all that there
-   * was at {@code readAt}. Returns the cancellations that we lack, which count as known from here
-   * on: the caller must act on them at once.
+   * Takes in a heartbeat that came at {@code nowMs}. Everything up to {@code revision} is known
+   * here, and everything written by {@code readAt}. Returns the cancellations that are new; they
+   * count as known from now on, so the caller must act on them at once.
    */
   List<Cancelled> heartbeatReceived(Beat heartbeat, long nowMs, long revision, long readAt) {
     Peer peer = peers.get(heartbeat.node());
     Told report = heartbeat.told();
     if (peer == null || report.life() == 0 || report.life() == peer.formerInstanceId) {
-      return List.of(); // Of a process that has ended: nothing rests on what comes late.
+      return List.of(); // Late message of a process that has ended.
     }
     if (peer.instanceId != report.life()) {
       peer.formerInstanceKnown =
           isFormerHistoryKnown(peer, readAt) && nowMs <= peer.suspendedUntil();
       if (peer.formerInstanceKnown) {
-        // The promise still held, and the new life was bound by its own until we have heard it.
+        // The suspension was still in force, and the new instance started suspended.
         peer.closedAt = Math.max(peer.closedAt, nowMs);
       }
       peer.suspendedAt = NEVER;
@@ -194,19 +212,22 @@
     return report.cancelled().stream().filter(each -> each.revision() > revision).toList();
   }
 
-  /** Whether all that was told by processes of that name before the present one is known. */
+  /** Whether all acknowledgements of earlier processes of that controller are known. */
   private static boolean isFormerHistoryKnown(Peer peer, long readAt) {
     return peer.instanceId != 0 && (peer.firstHeardAt <= readAt || peer.formerInstanceKnown);
   }
 
-  /** All is known up to {@code revision}; no cancellation known beyond it stands higher. */
+  /**
+   * The highest revision of any known cancellation, given that all up to {@code revision} are
+   * known.
+   */
   long highestKnownRevision(long revision) {
     long highestAcknowledged =
         this.acknowledged.isEmpty() ? forgottenUpTo : this.acknowledged.lastKey();
     return Math.max(revision, Math.max(highestAcknowledged, highestReceived));
   }
 
-  /** The watermark; all that there was at {@code readAt} is known. */
+  /** The watermark, given that everything written by {@code readAt} is known. */
   long value(long readAt, long nowMs) {
     long minClosedAt = nowMs;
     for (Peer peer : peers.values()) {
--- a/src/main/java/dunlincroft/membership/Membership.java
+++ b/src/main/java/dunlincroft/membership/Membership.java
@@ -11,9 +11,10 @@
 import java.util.TreeSet;
 
 /**
- * The narrow face of membership: who is there, who leads, and who holds which shard. Clocks, links
- * and accusations only decide when a node acts; whether it may is decided by guarded writes alone,
- * so that a takeover at any moment is safe, also from a node that is alive.
+ * Facade of the membership package: which controllers are alive, which one leads, and which owns
+ * each shard. Clocks, connections and suspicions only decide when a node acts. Whether it may act
+ * is decided by guarded writes alone, so a takeover is safe at any time, even from a node that is
+ * alive.
  */
 public final class Membership {
   private final NodeContext context;
@@ -49,30 +50,30 @@
             context, names, sessionLease, detector, blockLeases, suspicions, listener);
   }
 
-  /** All configured controllers, in order. */
+  /** All configured controllers, sorted by name. */
   public List<String> names() {
     return names;
   }
 
-  /** A name for a rental or a block that no controller ever gave before or will give again. */
+  /** A name for a rental or a block, unique over all controllers and incarnations. */
   public String nextName() {
     nameCount++;
     return context.name() + "-" + sessionLease.incarnation() + "-" + nameCount;
   }
 
-  // ---- the clockwork ----
+  // ---- periodic work ----
 
   public void start() {
     sessionLease.start();
   }
 
-  /** Decides what this node should be and hold; called a few times a second. */
+  /** Updates leadership and shard ownership; called a few times a second. */
   public void tick() {
     detector.tick(context.now());
     refute();
     if (context.feed().silentMs() > Constants.STALE_MS) {
-      // Cut off ourselves, perhaps with our zone: that its workers do not reach a holder elsewhere
-      // says nothing about the holder.
+      // This node is itself disconnected, perhaps with its zone: that workers of the zone do not
+      // reach an owner elsewhere says nothing about that owner.
       suspicions.forgetAll();
       return;
     }
@@ -85,8 +86,9 @@
   }
 
   /**
-   * Who is suspected says that it is there. Who holds machines and hears hardly anybody cannot know
-   * whether it is, and says so in its record now and then, where links do not matter.
+   * Refutes suspicions of this node. A node that owns machines and is isolated cannot know whether
+   * it is suspected, so it refutes periodically through its record, which does not depend on
+   * connections between controllers.
    */
   private void refute() {
     long suspectedAt = detector.highestSuspicionOfSelf();
@@ -100,13 +102,16 @@
     }
   }
 
-  /** Whether we hold a shard with machines, or nobody could. */
+  /** Whether this node owns a shard with machines, or no shard has machines yet. */
   private boolean ownsMachines() {
     List<String> shards = blockLeases.currentShards();
     return shards.isEmpty() || shards.stream().anyMatch(listener::owns);
   }
 
-  /** Peers could not be heard, and workers went elsewhere for our own silence's sake. */
+  /**
+   * Called after this process was paused: peers could not be heard, and workers turned to other
+   * controllers only because of the pause.
+   */
   public void pauseDetected(long ms) {
     detector.pauseDetected(ms, context.now());
     leadership.pauseDetected(ms);
@@ -114,16 +119,15 @@
     ownership.pauseDetected();
   }
 
-  /** Our own clockwork runs late, though it did not stand still. */
+  /** Called when ticks of this process run late, though it was not paused. */
   public void ticksDelayed() {
     detector.ticksDelayed(context.now());
   }
 
-  // ---- the link: advice only ----
+  // ---- heartbeats between controllers ----
 
   /**
-   * What we tell the others, with the load that users put on us and the machines of ours that do
-   * not serve.
+   * The next heartbeat of this node, with its admission load and its machines that do not respond.
    */
   public Beat heartbeat(Beat.Load load, List<String> silentMachines) {
     long stateSilentMs = context.feed().silentMs();
@@ -140,7 +144,7 @@
         silentMachines);
   }
 
-  /** Machines that other controllers own and do not hear, as they tell. */
+  /** Machines owned by other controllers that those report as silent. */
   public Set<String> silentMachinesOfPeers() {
     Set<String> hosts = new HashSet<>();
     for (String name : names) {
@@ -163,8 +167,9 @@
   // ---- cancellations ----
 
   /**
-   * A user is to be told that a job is cancelled, as a revision says. Returns whether that may be:
-   * not while the others go by our promise to tell of nothing more.
+   * Called before a user is told that a job is cancelled, as written at {@code revision}. Returns
+   * whether that may be acknowledged: not while the other controllers rely on this node's
+   * suspension of acknowledgements.
    */
   public boolean acknowledgeCancellation(String job, long revision) {
     boolean isAllowed = watermark.canAcknowledge(revision, context.now());
@@ -174,19 +179,17 @@
     return isAllowed;
   }
 
-  /**
-   * Milliseconds since the moment up to which we know every cancellation that any user was told.
-   */
+  /** Milliseconds since the time up to which every cancellation that any user was told is known. */
   public long cancellationLagMs() {
     return context.now() - watermark.value(context.feed().currentAt(), context.now());
   }
 
-  /** No cancellation that is known to us stands at a higher revision. */
+  /** The highest revision of any cancellation known to this node. */
   public long highestCancellationRevision() {
     return watermark.highestKnownRevision(context.replica().epoch());
   }
 
-  /** A controller refuses our connections, or no longer does. */
+  /** A controller refuses connections of this node, or no longer does. */
   public void connectionRefused(String node, boolean refused) {
     detector.connectionRefused(node, refused);
   }
@@ -195,14 +198,13 @@
     rateSharing.tick();
   }
 
-  /** What is believed of a controller. */
   public PeerState peerState(String node) {
     return detector.state(node);
   }
 
   /**
-   * Whether no controller of a zone is heard, though most of those elsewhere are. Never so of our
-   * own zone; of one without controllers it only says that we hear others well.
+   * Whether no controller of a zone is heard, while at least half of those elsewhere are. False for
+   * this node's own zone; for a zone without controllers it only says that enough others are heard.
    */
   public boolean isOnlySilentZone(String zone) {
     int heard = 0;
@@ -221,7 +223,9 @@
     return !zone.equals(context.settings().site()) && heard >= silent;
   }
 
-  /** Milliseconds for which no controller of a zone was heard; 0 for a zone without others. */
+  /**
+   * Milliseconds since any controller of a zone was heard; 0 for a zone without other controllers.
+   */
   public long zoneSilentMs(String zone) {
     return context.settings().others().stream()
         .filter(peer -> peer.site().equals(zone))
@@ -231,8 +235,8 @@
   }
 
   /**
-   * Whether we took a shard from a controller of that zone: cut off with it, it goes on answering
-   * the workers there for a while.
+   * Whether a shard was acquired from a controller of that zone: if the zone is partitioned, that
+   * controller goes on answering the workers there for a while.
    */
   public boolean isAcquiredFrom(String shard, String zone) {
     String from = ownership.previousOwner(shard);
@@ -240,8 +244,8 @@
   }
 
   /**
-   * Whether a controller that we hear has had its hold already, so that it may serve users. One
-   * that has just begun has not.
+   * Whether a trusted controller has had a session lease already, so that it may serve users. One
+   * that has just started has not.
    */
   public boolean hasActivePeers() {
     return context.settings().others().stream()
@@ -253,7 +257,10 @@
                     && detector.heartbeat(peer).incarnation() != 0);
   }
 
-  /** Every other controller says, right now, that it too hears nothing from the state service. */
+  /**
+   * Whether every other controller reports at present that it is disconnected from the state
+   * service, too.
+   */
   public boolean areAllPeersDisconnected() {
     return context.settings().others().stream()
         .map(Settings.Peer::node)
@@ -265,8 +272,8 @@
   }
 
   /**
-   * Whether the state service seems to be down for all and not for us alone: others are heard, and
-   * none of them that has its hold says that it hears it.
+   * Whether the state service seems to be down for all controllers and not only for this node:
+   * others are heard, and none of them that has a session lease reports to be connected.
    */
   public boolean isCommonOutage() {
     List<String> heard =
@@ -286,7 +293,7 @@
 
   // ---- records ----
 
-  /** A record changed. */
+  /** Called when a record has changed in the replica. */
   public void recordChanged(String kind, String name) {
     switch (kind) {
       case Replica.SHARDS -> ownership.recordChanged(name);
@@ -316,7 +323,7 @@
     return leadership.leader();
   }
 
-  /** Stamp of the leader's record: it changes with the leader. */
+  /** Stamp of the leader's record; it changes with the leader. */
   public long leaderStamp() {
     return leadership.stamp();
   }
@@ -326,34 +333,40 @@
     return leadership.guardAsLeader(txn);
   }
 
-  /** Stamp of the leases' record: it changes with every renewal. */
+  /** Stamp of the block leases' record; it changes with every renewal. */
   public long leaseStamp() {
     return blockLeases.stamp();
   }
 
-  /** Shards that blocks are leased to at present; jobs are shared out among them. */
+  /** Shards that blocks are leased to at present; new jobs are distributed among them. */
   public List<String> leasedShards() {
     return blockLeases.currentShards();
   }
 
-  /** The owner of a new job: the lease holder that the hash of its id and name favours. */
+  /** The shard that owns a new job, chosen among the leased shards by rendezvous hashing. */
   public String shardForJob(String job) {
     return blockLeases.shardForJob(job);
   }
 
-  /** The leader renews the leases, for so many machines, and one holder for each so many. */
+  /**
+   * Renews the block leases as the leader: one leased shard for every {@code machinesPerShard}
+   * machines.
+   */
   public void renewLeases(int machines, int machinesPerShard) {
     blockLeases.renew(guardAsLeader(new Txn()), names, machines, machinesPerShard);
   }
 
   // ---- shards and workers ----
 
-  /** The controller that a shard's record names, or null. */
+  /** The controller that a shard's record names as its owner, or null. */
   public String ownerOf(String shard) {
     return ownership.ownerOf(shard);
   }
 
-  /** Whether the life of another controller that a shard's record names is there, as we hear it. */
+  /**
+   * Whether the owner of a shard is another controller that is trusted and still the incarnation
+   * that the record names.
+   */
   public boolean isOwnerAlive(String shard) {
     String owner = ownership.ownerOf(shard);
     if (owner == null || owner.equals(context.name()) || detector.heartbeat(owner) == null) {
@@ -365,25 +378,28 @@
         && detector.heartbeat(owner).incarnation() == recorded;
   }
 
-  /** Whether a shard is about to change hands, or has come to us and we do not act for it yet. */
+  /**
+   * Whether a shard is about to change its owner, or belongs to this node but is not acquired yet.
+   */
   public boolean isOwnerChanging(String shard) {
     return ownership.isOwnerChanging(shard);
   }
 
   /**
-   * A worker whose machine another node holds came to us and is being sent there. Returns whether
-   * it may accuse that one: then it must be asked, as it may be the worker that does not hear.
+   * A worker whose machine another controller owns reported here and is being redirected. Returns
+   * whether it may be counted against that owner. The caller must then check that the worker
+   * receives answers, as the fault may be on the worker's side.
    */
   public boolean recordRedirect(String host, String shard) {
     String owner = ownership.ownerOf(shard);
-    // Who hears hardly anybody has no right to suspect one: then the worker must come again.
+    // An isolated node must not suspect others; the worker then has to return to be counted.
     boolean suspected =
         owner != null && detector.state(owner) != PeerState.TRUSTED && !detector.isIsolated();
     return suspicions.recordRedirect(host, suspected, context.now())
         && suspicions.count(shard, context.now()) < Constants.ACCUSE_COUNT;
   }
 
-  /** A worker that answered us does not reach its holder. */
+  /** A worker that answers this node does not reach the owner of its shard. */
   public void reportUnreachable(String host, String shard) {
     suspicions.reportUnreachable(host, shard, context.now());
   }
--- a/src/main/java/dunlincroft/membership/NodeContext.java
+++ b/src/main/java/dunlincroft/membership/NodeContext.java
@@ -6,14 +6,14 @@
 import dunlincroft.bookkeeping.StateStore;
 import dunlincroft.transport.Env;
 
-/** What membership works with at one node: settings, clocks, the state service and its replica. */
+/** What membership needs of its node: settings, clocks, the state service and its replica. */
 public record NodeContext(
     Settings settings, Env env, StateStore store, Replica replica, Feed feed) {
   String name() {
     return settings.node();
   }
 
-  /** Steady clock in milliseconds. */
+  /** Monotonic clock, in milliseconds. */
   long now() {
     return env.nowMillis();
   }
--- a/src/main/java/dunlincroft/membership/PeerState.java
+++ b/src/main/java/dunlincroft/membership/PeerState.java
@@ -1,11 +1,14 @@
 package dunlincroft.membership;
 
-/** How far a controller is believed to be there. */
+/** Whether a controller is believed to be alive. */
 public enum PeerState {
-  /** Heard as regularly as ever. */
+  /** Heard at its usual intervals. */
   TRUSTED,
-  /** Silent for longer than it ever is: successors make ready. It may refute that. */
+  /** Silent for longer than usual: successors prepare. It may refute the suspicion. */
   SUSPECTED,
-  /** Most controllers, we among them, find it gone or lost: its shards may be taken. */
+  /**
+   * The majority of controllers, this one included, find it ended or unreachable: its shards may be
+   * taken over.
+   */
   CONDEMNED
 }
--- a/src/main/java/dunlincroft/membership/RateSharing.java
+++ b/src/main/java/dunlincroft/membership/RateSharing.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Shares the state service's rates out by what every controller wants. */
+/** Divides the state service's rate limits among the controllers by their demand. */
 final class RateSharing {
   private final NodeContext context;
   private final FailureDetector detector;
@@ -19,14 +19,14 @@
     this.detector = detector;
   }
 
-  /** What we wanted of late, in requests and changes a second. */
+  /** Recent demand of this node, in requests and changes a second. */
   Wish demand() {
     return demand;
   }
 
   /**
-   * A controller that says nothing is taken to want what it last did; one whose hold has ended
-   * wants nothing.
+   * A silent controller counts with its last known demand; one whose session lease has expired
+   * counts with none.
    */
   void tick() {
     double seconds = (context.now() - measuredAt) / 1000.0;
--- a/src/main/java/dunlincroft/membership/SessionLease.java
+++ b/src/main/java/dunlincroft/membership/SessionLease.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** This node's hold at the state service, and the record that is tied to it. */
+/** This node's session lease at the state service, and the controller record that is tied to it. */
 final class SessionLease {
   private static final Logger LOG = LoggerFactory.getLogger(SessionLease.class);
 
@@ -21,7 +21,7 @@
   private long id;
   private long incarnation;
 
-  /** How often we refuted a suspicion; of two messages of ours the one with more is the newer. */
+  /** Number of refuted suspicions; it orders the messages of this node by age. */
   private long refutations;
 
   private boolean isWriting;
@@ -30,12 +30,12 @@
     this.context = context;
   }
 
-  /** The hold that our records are tied to; 0 while there is none. */
+  /** Id of the present lease, to which the records of this node are tied; 0 while there is none. */
   long id() {
     return id;
   }
 
-  /** A number that no other life of any node has; 0 before the first hold. */
+  /** A number that no other process of any node has; 0 before the first lease. */
   long incarnation() {
     return incarnation;
   }
@@ -44,7 +44,7 @@
     return refutations;
   }
 
-  /** Somebody suspects us who knows of {@code known} refutations: we say more. */
+  /** Refutes a suspicion by a peer that knows of {@code knownRefutations}, by a higher number. */
   void refute(long knownRefutations) {
     if (knownRefutations >= refutations) {
       refutations = knownRefutations + 1;
@@ -68,7 +68,7 @@
                   return;
                 }
               } catch (Malformed e) {
-                LOG.info("hold: {}", e.getMessage());
+                LOG.info("malformed answer to the request for a session lease: {}", e.getMessage());
               }
               context.env().after(Constants.HOLD_RETRY_MS, this::start);
             });
@@ -81,7 +81,7 @@
             id,
             answer -> {
               if (answer.status() == 404) {
-                LOG.info("our hold {} has ended; taking a new one", id);
+                LOG.info("our hold {} has ended; requesting a new one", id);
                 id = 0;
                 start();
               } else {
@@ -94,12 +94,15 @@
             });
   }
 
-  /** Our name and incarnation, as records say who wrote them. */
+  /** Name and incarnation of this node, for records that say who wrote them. */
   ObjectNode identity() {
     return Cbor.map().put("name", context.name()).put("incarnation", incarnation);
   }
 
-  /** Keeps the record of our being there: it names our hold, and our last refutation. */
+  /**
+   * Keeps the controller record up to date: it names the present lease and the number of
+   * refutations.
+   */
   void writeRecord() {
     Item item = context.replica().get(Replica.CONTROLLERS, context.name());
     boolean isCurrent =
@@ -114,8 +117,8 @@
         .store()
         .commit(
             Urgency.HOLD,
-            // Guarded, so that one that is carried out late does not tie the record to an older
-            // hold.
+            // Guarded, so that a write carried out late does not tie the record to an earlier
+            // lease.
             new Txn()
                 .guard(
                     Wire.key(Replica.CONTROLLERS, context.name()), item == null ? 0 : item.stamp())
--- a/src/main/java/dunlincroft/membership/ShardListener.java
+++ b/src/main/java/dunlincroft/membership/ShardListener.java
@@ -1,28 +1,35 @@
 package dunlincroft.membership;
 
-/** What acts for shards; membership tells it when to begin, to make ready, and to stop. */
+/**
+ * Called by membership when a shard is acquired or released, or its takeover should be prepared.
+ */
 public interface ShardListener {
-  /** Whether we act for a shard now. */
+  /** Whether this node acts as the shard's owner now. */
   boolean owns(String shard);
 
-  /** Stamp of the shard's record under which we act for it; 0 if we do not. */
+  /** Stamp of the shard's record under which this node owns it; 0 if it does not. */
   long stamp(String shard);
 
-  /** Begins to act for a shard: its record names us, and all that was written before is read. */
+  /**
+   * Starts to act as the shard's owner: its record names this node, and all earlier writes have
+   * been read.
+   */
   void acquire(String shard, long stamp);
 
-  /** Stops acting for a shard: somebody else does. */
+  /** Stops acting as the shard's owner, because another node is. */
   void release(String shard);
 
   /**
-   * We are first in line for a shard that has machines: what can be read ahead is read, now and
-   * then, and at once when its holder is {@code suspected}. Told again and again.
+   * This node is the first successor for a shard that has machines: data needed for a takeover may
+   * be read ahead from time to time, and at once if the owner is {@code suspected}. Called
+   * repeatedly.
    */
   void prepareTakeover(boolean suspected);
 
   /**
-   * Another controller has told a user that a job is cancelled; we have not read it yet. Its tasks
-   * may be stopped, which is safe; nothing may be told or recorded on the strength of it.
+   * Another controller has acknowledged a job's cancellation to a user; this node has not read it
+   * yet. The job's tasks may be stopped, which is safe, but nothing may be acknowledged or recorded
+   * because of it.
    */
   void cancelledByPeer(String job);
 }
--- a/src/main/java/dunlincroft/membership/ShardOwnership.java
+++ b/src/main/java/dunlincroft/membership/ShardOwnership.java
@@ -20,8 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which shards this node should hold. Evidence only decides when it tries; whether it may is
- * decided by one guarded write of the shard's record.
+ * Decides which shards this node should own. Suspicions only decide when it tries to acquire one;
+ * whether it succeeds is decided by a guarded write of the shard's record.
  */
 final class ShardOwnership {
   private static final Logger LOG = LoggerFactory.getLogger(ShardOwnership.class);
@@ -67,20 +67,20 @@
     return zones.getOrDefault(node, "");
   }
 
-  /** The controller from which we last took a shard, or null. */
+  /** The controller from which this node last acquired a shard, or null. */
   String previousOwner(String shard) {
     return previousOwners.get(shard);
   }
 
-  /** The controller that a shard's record names, or null. */
+  /** The controller that a shard's record names as its owner, or null. */
   String ownerOf(String shard) {
     Item item = context.replica().get(Replica.SHARDS, shard);
     return item == null ? null : item.data().path("holder").asText(null);
   }
 
   /**
-   * Whether a shard is about to change hands, or has come to us and we do not act for it yet. When
-   * we hear hardly anybody, one node's silence says nothing about it.
+   * Whether a shard is about to change its owner, or belongs to this node but is not acquired yet.
+   * If this node is isolated, one peer's silence says nothing about that peer.
    */
   boolean isOwnerChanging(String shard) {
     String owner = ownerOf(shard);
@@ -91,16 +91,19 @@
         || (detector.state(owner) != PeerState.TRUSTED && !detector.isIsolated());
   }
 
-  /** We stood still: nothing that was about to happen by then may happen at once. */
+  /**
+   * Called after this process was paused: takeovers and handbacks that fell due meanwhile start
+   * their waits again.
+   */
   void pauseDetected() {
     attemptDueAt.clear();
     healthySince.clear();
   }
 
-  // ---- what we should hold ----
+  // ---- takeover and handback ----
 
   void tick() {
-    // Shards are taken one after the other: those that have machines and jobs first.
+    // Shards are acquired one at a time, those with machines and jobs first.
     List<String> leased = blockLeases.currentShards();
     List<String> shards = new ArrayList<>(names);
     shards.sort(Comparator.comparing(shard -> !leased.contains(shard)));
@@ -135,16 +138,16 @@
     }
   }
 
-  /** Why a shard should be taken now, or null. */
+  /** Why a shard should be acquired now; null if it should not. */
   private String takeoverReason(String shard, Item item, String owner, boolean isOwn) {
     if (item == null) {
-      return shard.equals(context.name()) ? "it is new and ours" : null;
+      return shard.equals(context.name()) ? "it is new and this is its home controller" : null;
     }
     if (isOwn) {
-      return "we held it before our restart";
+      return "this node owned it before its restart";
     }
     if (context.replica().get(Replica.CONTROLLERS, owner) == null) {
-      return "the hold of " + owner + " has ended";
+      return "the session lease of " + owner + " has ended";
     }
     if (detector.hasEnded(owner)) {
       return owner + " is condemned, its process has ended";
@@ -157,12 +160,12 @@
     }
     int reports = suspicions.count(shard, context.now());
     if (reports >= 1 && detector.state(owner) == PeerState.SUSPECTED && !detector.isIsolated()) {
-      return owner + " is suspected and its workers come to us";
+      return owner + " is suspected and its workers report to this node";
     }
     return reports >= Constants.ACCUSE_COUNT ? "workers do not reach " + owner : null;
   }
 
-  /** Our place in the order of those who would succeed a holder; 0 is the first. */
+  /** This node's position in the succession to an owner; 0 is the first. */
   private int successionRank(String shard, String owner, List<String> shards, List<String> leased) {
     Map<String, Integer> leasedByOwner = new HashMap<>();
     leased.forEach(each -> leasedByOwner.merge(String.valueOf(ownerOf(each)), 1, Integer::sum));
@@ -197,11 +200,11 @@
           attemptDueAt.remove(shard);
           suspicions.forget(shard);
           if (result.ok() || result.outcome() == Txn.Outcome.UNKNOWN) {
-            // Without an answer it may be ours all the same; whether it is, the record tells.
+            // Without an answer the write may still have succeeded; the record will tell.
             previousOwners.put(shard, from);
           }
           if (!result.ok()) {
-            LOG.info("shard {} not taken: {}", shard, result.outcome());
+            LOG.info("shard {} not acquired: {}", shard, result.outcome());
             nextAttemptAt = context.now() + Constants.TAKEOVER_PAUSE_MS / 2;
             context.feed().barrier(ok -> {});
           }
@@ -209,8 +212,9 @@
   }
 
   /**
-   * A shard that we took goes back to its own controller once that one has been well for a while,
-   * if we run another one beside it: with a single shard at work there is nothing to share.
+   * Returns an acquired shard to its home controller once that one has been healthy for a while, if
+   * this node also owns another leased shard. With only one leased shard there is no load to
+   * divide.
    */
   private void considerHandback(String shard, List<String> leased) {
     Item sessionRecord = context.replica().get(Replica.CONTROLLERS, shard);
@@ -233,11 +237,11 @@
       return;
     }
     healthySince.remove(shard);
-    LOG.info("node {} hands shard {} back to its own controller", context.name(), shard);
+    LOG.info("node {} returns shard {} to its home controller", context.name(), shard);
     writeOwner(shard, listener.stamp(shard), shard, heartbeat.incarnation(), result -> {});
   }
 
-  /** Writes a shard's holder; whoever held it before writes nothing more. */
+  /** Writes a shard's owner; from then on writes of the former owner fail. */
   private void writeOwner(
       String shard, long stamp, String owner, long incarnation, Consumer<Txn.Result> then) {
     context
@@ -252,9 +256,9 @@
             then);
   }
 
-  // ---- following the records ----
+  // ---- record changes ----
 
-  /** Follows a shard's record: begins, goes on, or stops acting for it. */
+  /** Follows a shard's record: acquires, keeps or releases the shard. */
   void recordChanged(String shard) {
     Item item = context.replica().get(Replica.SHARDS, shard);
     startCooldown(shard);
@@ -269,9 +273,10 @@
         listener.release(shard);
       }
     } else if (listener.stamp(shard) != item.stamp()) {
-      // New to us, or another held it in between, unseen: its writes are read before we act.
+      // New to this node, or owned by another in between without this node noticing: the other's
+      // writes have to be read first.
       listener.release(shard);
-      // The old holder's last writes may still be on their way to our replica: read them first.
+      // The former owner's last writes may not have reached this replica yet: read them first.
       acquireAfterBarrier(shard, item.stamp());
     }
   }
@@ -293,9 +298,10 @@
   }
 
   /**
-   * Workers need a while to find a new holder, and some may reach neither. Accusations from before
-   * a change of hands are void, and each change that follows soon makes the next one wait longer:
-   * two nodes that each miss some workers must not take a shard from each other for ever.
+   * Starts the wait before the next takeover of a shard. Workers need time to find a new owner, and
+   * some may reach neither. Suspicion reports from before a change of owner are void, and each
+   * change soon after another doubles the wait, up to a limit: two nodes that each fail to reach
+   * some workers must not take a shard from each other forever.
    */
   private void startCooldown(String shard) {
     long now = context.now();
--- a/src/main/java/dunlincroft/membership/Succession.java
+++ b/src/main/java/dunlincroft/membership/Succession.java
@@ -10,20 +10,20 @@
 import java.util.Map;
 
 /**
- * Who succeeds a controller, shard by shard. Everybody computes the same order from what is
- * recorded, so that it is planned and not raced; where views differ, a guarded write decides.
+ * The order in which controllers succeed a failed one, shard by shard. All compute it from the same
+ * records, so that they do not race; where their views differ, a guarded write decides.
  */
 final class Succession {
-  /** A controller that could succeed: its zone, and how many leased shards it has already. */
+  /** A possible successor: its zone, and how many leased shards it owns already. */
   record Candidate(String node, String zone, int leased) {}
 
   private Succession() {}
 
   /**
-   * For each of the failed controller's shards, in the order given (those with machines first), all
-   * candidates, the best first. Those in another zone than the failed one's come first, as that
-   * zone may be going; then who has the fewest leased shards, counting those that come to it here;
-   * the hash of shard and name decides between equals.
+   * For each of the failed controller's shards, in the given order (those with machines first), all
+   * candidates, the best first. Candidates in other zones than the failed one come first, as its
+   * whole zone may be failing; then those with the fewest leased shards, including those assigned
+   * to them here; ties are broken by the hash of shard and name.
    */
   static Map<String, List<String>> plan(
       Collection<String> shards, String failedZone, Collection<Candidate> candidates) {
--- a/src/main/java/dunlincroft/membership/SuspicionReports.java
+++ b/src/main/java/dunlincroft/membership/SuspicionReports.java
@@ -4,15 +4,16 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Workers that come to us although another controller holds their machines. */
+/** Counts workers that do not reach the owner of their shard and report to this node instead. */
 final class SuspicionReports {
   private final Map<String, Long> redirectedAt = new HashMap<>();
   private final Map<String, Map<String, Long>> reports = new HashMap<>();
 
   /**
-   * A worker came to us and is being sent to its holder. Returns whether that speaks against the
-   * holder: the worker comes back, or the holder is {@code suspected} anyway. It may be the worker
-   * that does not hear: who is told to accuse must have answered us.
+   * Records that a worker reported here and is being redirected to its owner. Returns whether that
+   * is evidence against the owner: the worker returned within {@link Constants#ACCUSE_WINDOW_MS},
+   * or the owner is {@code suspected} anyway. The fault may be on the worker's side: the caller
+   * must check that the worker answers before it calls {@link #reportUnreachable}.
    */
   boolean recordRedirect(String host, boolean suspected, long nowMs) {
     Long previous = redirectedAt.put(host, nowMs);
@@ -20,12 +21,12 @@
     return isRepeated || suspected;
   }
 
-  /** A worker of a shard, which hears us, does not reach the holder. */
+  /** Counts a worker of a shard that answers this node but does not reach the owner. */
   void reportUnreachable(String host, String shard, long nowMs) {
     reports.computeIfAbsent(shard, s -> new HashMap<>()).put(host, nowMs);
   }
 
-  /** How many workers accuse the holder of a shard. */
+  /** How many workers report that they do not reach the owner of a shard. */
   int count(String shard, long nowMs) {
     Map<String, Long> hosts = reports.get(shard);
     if (hosts == null) {
@@ -35,13 +36,16 @@
     return hosts.size();
   }
 
-  /** The shard changed hands: what was said of its holder is void. */
+  /** The shard has changed its owner: reports on the former one are void. */
   void forget(String shard) {
     reports.remove(shard);
     redirectedAt.clear();
   }
 
-  /** We stood still: workers went elsewhere for our own silence's sake. */
+  /**
+   * Called after this process was paused: workers turned to other controllers because this node was
+   * silent.
+   */
   void forgetAll() {
     reports.clear();
     redirectedAt.clear();
--- a/src/test/java/dunlincroft/admission/AdmissionTest.java
+++ b/src/test/java/dunlincroft/admission/AdmissionTest.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Five controllers that bear 30 submissions a second together, and users who ask for more. */
+/**
+ * Admission at five controllers that accept 30 submissions a second together, under different
+ * loads.
+ */
 class AdmissionTest {
   private static final int CONTROLLERS = 5;
   private static final double CAPACITY = 30;
@@ -21,7 +24,7 @@
     return new UserSimulation(Policy.SHARED_PLAN, CONTROLLERS, CAPACITY, seed);
   }
 
-  /** Whoever asks for less than its part is served as if the flood were not there. */
+  /** Classes that ask for less than their part are served as if there were no flood. */
   @Test
   void aTeamAtTenTimesTheLoadGetsOnlyUnusedCapacity() {
     UserSimulation simulation = simulation(1);
@@ -36,11 +39,11 @@
           .isGreaterThan(0.9);
     }
     assertThat(simulation.accepted())
-        .as("nothing is wasted")
+        .as("all capacity is used")
         .isGreaterThan((int) (0.95 * 120 * CAPACITY));
   }
 
-  /** Ten times too much of everything: each flow gets its floor, whatever its rank. */
+  /** Demand of ten times the capacity: each class gets its floor, whatever its rank. */
   @Test
   void everyClassGetsItsFloor() {
     UserSimulation simulation = simulation(2);
@@ -56,8 +59,8 @@
   }
 
   /**
-   * A rush that the controllers work off in 25 s: everybody is told a few times when to come, and
-   * is let in then, in the order of coming; at any controller, as the balancer does not know them.
+   * A burst that takes the controllers 25 s: every submission is refused a few times with a retry
+   * time, and is admitted then, at whichever controller the load balancer picks.
    */
   @Test
   void aBurstGetsRetryTimesAndIsAdmittedThen() {
@@ -77,7 +80,8 @@
   }
 
   /**
-   * Links refused, then a controller away: each goes on with its own part, and nothing is wasted.
+   * All heartbeats between controllers are lost for a while, later one controller is down: each of
+   * the others goes on with its own part of the capacity, and little of it is wasted.
    */
   @Test
   void aPartitionOrAFailedControllerChangesLittle() {
@@ -94,7 +98,7 @@
     assertThat(simulation.accepted()).isGreaterThan((int) (0.85 * 120 * CAPACITY));
   }
 
-  /** 500 teams, one of which asks for as much as all others. */
+  /** 500 teams beside one that asks for four times as much as all of them together. */
   @Test
   void manyTeamsAreServedBesideALargeOne() {
     UserSimulation simulation = simulation(5);
@@ -111,7 +115,6 @@
     assertThat(acceptedCount).isGreaterThan((int) (0.9 * submitted));
   }
 
-  /** Without overload nobody is refused. */
   @Test
   void withoutOverloadNothingIsRefused() {
     UserSimulation simulation = simulation(6);
--- a/src/test/java/dunlincroft/admission/PlanTest.java
+++ b/src/test/java/dunlincroft/admission/PlanTest.java
@@ -34,7 +34,10 @@
     return Arbitraries.maps(trafficClass, Arbitraries.doubles().between(0, 50)).ofMaxSize(14);
   }
 
-  /** Found by bisection for the level at which all is shared out: not how the plan does it. */
+  /**
+   * Reference result, computed by bisection for the common ratio of share to weight: independent of
+   * the method that the plan uses.
+   */
   private static double[] bisect(double capacity, double[] demand, double[] weight) {
     double low = 0;
     double high = 1e6;
@@ -65,7 +68,10 @@
         .containsExactly(bisect(capacity, demanded, weight), within(1e-4));
   }
 
-  /** No more than there is or is asked for, nothing wasted, and no flow below its floor. */
+  /**
+   * No class gets more than its demand or less than its floor, and all capacity is used up to the
+   * total demand.
+   */
   @Property(seed = "22", tries = 300)
   void thePlanKeepsFloorsAndUsesAllCapacity(
       @ForAll("demands") Map<TrafficClass, Double> demand,
@@ -83,7 +89,8 @@
               .isGreaterThanOrEqualTo(
                   (totalDemand <= 1.8 * capacity ? half : Math.min(half, even)) - TOLERANCE);
         });
-    // Services before the rest: where one of these has more than its floor, no service lacks.
+    // Services come before other jobs: if other jobs get more than their guaranteed parts, no
+    // service is short.
     boolean isServiceShort =
         demand.keySet().stream()
             .anyMatch(
@@ -104,8 +111,8 @@
   }
 
   /**
-   * Whoever asks for more gets no less, as long as half of everybody fits, and the order in which
-   * flows are named is nothing.
+   * A class that asks for more gets no less, as long as half of the total demand fits, and the
+   * order in which classes are given does not matter.
    */
   @Property(seed = "23", tries = 200)
   void thePlanIsMonotoneAndIndependentOfOrder(
--- a/src/test/java/dunlincroft/admission/UserSimulation.java
+++ b/src/test/java/dunlincroft/admission/UserSimulation.java
@@ -13,18 +13,21 @@
 import java.util.function.IntPredicate;
 
 /**
- * Users that behave as the protocol says (retries, Retry-After, 60 s) before several controllers,
- * each of which can accept so many submissions a second. An experiment by its {@link #main}, and
- * what AdmissionTest plays.
+ * Simulated users that follow the protocol (retries, Retry-After, giving up after 60 s), and
+ * several controllers with a limited rate of acceptances. Used by {@link AdmissionTest}; {@link
+ * #main} prints a comparison of admission policies.
  */
 final class UserSimulation {
-  /** Who lets users in. */
+  /** How the controllers decide which submissions to admit. */
   enum Policy {
-    /** What this version does. */
+    /** The policy of {@link Admission}. */
     SHARED_PLAN,
-    /** First come, first served; who finds no budget comes again after a second. */
+    /**
+     * First come, first served; a submission that finds no free rate budget is retried after a
+     * second.
+     */
     FIRST_COME_FIRST_SERVED,
-    /** Let in at random, as often as the budget bears. */
+    /** Admits at random, less often the longer the queue is. */
     RANDOM
   }
 
@@ -67,7 +70,10 @@
     }
   }
 
-  /** One controller: its admission, and a budget of changes in which what is let in waits. */
+  /**
+   * One controller: its admission control, and the queue of admitted submissions that wait for its
+   * rate budget.
+   */
   private final class Node {
     private final String name;
     private final Admission admission;
@@ -169,7 +175,7 @@
     clock.after(Constants.LINK_BEAT_MS, this::exchangeLoads);
   }
 
-  /** Submissions of a flow at random moments, so many a second, until {@code untilMs}. */
+  /** Submissions of a class at random times at the given mean rate, until {@code untilMs}. */
   void offer(TrafficClass trafficClass, double perSecond, long untilMs) {
     long gap = (long) Math.max(1, -Math.log(1 - random.nextDouble()) * 1000 / perSecond);
     clock.after(
@@ -183,7 +189,7 @@
         });
   }
 
-  /** Many at one moment. */
+  /** Many submissions at once. */
   void burst(TrafficClass trafficClass, int number) {
     for (int i = 0; i < number; i++) {
       submitted.merge(trafficClass, 1, Integer::sum);
@@ -199,7 +205,7 @@
     return waitTimes.values().stream().mapToInt(List::size).sum();
   }
 
-  /** Share of a flow's submissions that were accepted in the end. */
+  /** Fraction of a class's submissions that were accepted in the end. */
   double servedFraction(TrafficClass trafficClass) {
     return accepted(trafficClass) / (double) submitted.get(trafficClass);
   }
@@ -211,7 +217,7 @@
     return all.length == 0 ? 0 : all[(int) (fraction * (all.length - 1))];
   }
 
-  /** The table of docs/admission.md: ways, controllers and load. Simulated users. */
+  /** Prints the table of docs/admission.md: policies, numbers of controllers, and loads. */
   public static void main(String[] args) {
     System.out.println(
         "way,controllers,load,throughput,refusals_each,p95_s,worst_team,worst_class");
@@ -221,7 +227,7 @@
           UserSimulation simulation = new UserSimulation(policy, controllers, 30, 1);
           TrafficClass[] classes = new TrafficClass[8];
           for (int i = 0; i < classes.length; i++) {
-            // One team in four asks for seven times as much as each other one.
+            // One team in four asks for seven times as much as each of the others.
             classes[i] = new TrafficClass("t" + i / 2, "c" + i % 2, i % 2 == 0);
             simulation.offer(classes[i], 30 * load / 20 * (i < 2 ? 7 : 1), 200_000);
           }
--- a/src/test/java/dunlincroft/limits/SharePlanTest.java
+++ b/src/test/java/dunlincroft/limits/SharePlanTest.java
@@ -11,16 +11,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All splits of a small limit over three shards, with all they may use and wait for. Each gift is
- * one write guarded by the record, so of several givers any one may come first and the others then
- * plan anew, or not at all when they have ended: every order is played.
+ * Checks all divisions of a small limit among three shards, with all combinations of used parts and
+ * requests. Each shard's transfers are one write guarded by the record. So any of several giving
+ * shards may write first, and the others then plan again, or do nothing if they have failed: all
+ * orders are tried.
  */
 class SharePlanTest {
   private static final List<String> SHARDS = List.of("n0", "n1", "n2");
   private static final int MAX_PART = 3;
   private static final int[] TASKS = {0, 1, 2, 4};
 
-  /** A gift of each giver at most for each claim, and one for headroom. */
+  /** At most one transfer of each shard for each request, and one for spare capacity. */
   private static final int MAX_STEPS = 6;
 
   private static Room cpus(long cpus) {
@@ -31,7 +32,7 @@
     return resources.values().stream().mapToLong(Room::cpu).sum();
   }
 
-  /** A state: what each shard has and uses, and one claim for each that waits. */
+  /** What each shard has and uses, and the requests of the shards that wait. */
   private record State(
       Map<String, Room> parts, Map<String, Room> used, List<ShareRequest> requests) {
     List<Transfer> plan() {
@@ -95,7 +96,10 @@
     return new State(parts, used, requests);
   }
 
-  /** Plays every order of givers; nothing is lost, nobody gives what it uses, and it ends. */
+  /**
+   * Tries all orders of giving shards: no capacity is lost, no shard gives what it uses, and the
+   * transfers end.
+   */
   private static void checkAllOrders(State state, long limit, int steps) {
     assertThat(sum(state.parts)).isEqualTo(limit);
     SHARDS.forEach(shard -> assertThat(state.unused(shard)).isNotNegative());
@@ -104,11 +108,14 @@
       checkServed(state);
       return;
     }
-    assertThat(steps).as("gifts until nobody has more to give: %s", state).isPositive();
+    assertThat(steps).as("transfers before the plan is empty: %s", state).isPositive();
     sources.forEach(source -> checkAllOrders(state.after(source), limit, steps - 1));
   }
 
-  /** In the order of the claims, whoever could be served from all unused parts has its part. */
+  /**
+   * In the order of the requests, each that fits into what is left of all unused parts has it at
+   * its own shard.
+   */
   private static void checkServed(State state) {
     long remaining = SHARDS.stream().mapToLong(state::unused).sum();
     for (ShareRequest request : state.requests) {
@@ -127,7 +134,7 @@
     states.forEach(state -> checkAllOrders(state, sum(state.parts), MAX_STEPS));
   }
 
-  /** Five shards with 3 processors each start a task of 4. */
+  /** Five shards with 3 processors each; one of them is to start a task of 4. */
   @Test
   void smallRemaindersOfManyShardsAreCombined() {
     Map<String, Room> parts = new TreeMap<>();
@@ -139,7 +146,7 @@
     assertThat(plan).containsExactly(new Transfer("n0", "n3", cpus(1)));
   }
 
-  /** The check finds a planted fault: a giver that forgets what it uses. */
+  /** Checks the test itself: a plan made without the parts in use must give some of them away. */
   @Test
   void aTransferOfPartsInUseIsDetected() {
     State state =
--- a/src/test/java/dunlincroft/membership/CancellationHistories.java
+++ b/src/test/java/dunlincroft/membership/CancellationHistories.java
@@ -11,31 +11,38 @@
 import java.util.TreeSet;
 
 /**
- * Generated histories of five controllers that tell users of cancellations, with an observer who
- * knows what was told when: outages, refusals, cuts that hold beats back, standstills, restarts
- * within 0.2 s, answers that are lost, cancellations told by who only read them.
+ * Random histories of five controllers that acknowledge cancellations to users, and an observer
+ * that knows what was acknowledged when. Faults: outages of the state service, refused access to
+ * it, partitions that delay heartbeats, pauses, restarts within 0.2 s, lost answers, and
+ * cancellations acknowledged by controllers that only read them.
  */
 final class CancellationHistories {
-  /** What is done wrong on purpose. */
+  /** Faults planted to check that the observer detects them. */
   enum PlantedFault {
     NONE,
-    /** The condition of old: all say that they hear nothing now. */
+    /**
+     * Replaces the watermark: a node counts as up to date while all others report that they are
+     * disconnected from the state service.
+     */
     ALL_REPORT_DISCONNECTED,
-    /** A reading counts from when its answer came. */
+    /** A read counts from the time of its response, not of its request. */
     READ_TIME_IS_RESPONSE_TIME,
-    /** A process that has begun anew goes on under the number of its former life. */
+    /** A restarted process keeps the id of its former instance. */
     RESTART_KEEPS_INSTANCE_ID,
-    /** What is told counts from when the beat came. */
+    /** Acknowledgements count as closed up to the arrival of the heartbeat. */
     CLOSED_AT_ARRIVAL_TIME,
-    /** Who only read of a cancellation tells of it without vouching. */
+    /**
+     * A controller that only read a cancellation acknowledges it without reporting it to the
+     * others.
+     */
     READERS_DO_NOT_REPORT,
-    /** What was handed over with a word is not taken in. */
+    /** Cancellations that come with a heartbeat are not stored. */
     RECEIVED_AND_DROPPED,
-    /** Who has promised to tell nothing more tells all the same. */
+    /** A controller that has announced a suspension acknowledges all the same. */
     SUSPENSION_IGNORED,
-    /** Half a promise's time is taken for all of it. */
+    /** A suspension is ended after half of its time. */
     SUSPENSION_ENDS_EARLY,
-    /** Who has just begun is bound by no promise. */
+    /** A process that has just started is not suspended. */
     RESTART_NOT_SUSPENDED
   }
 
@@ -98,7 +105,10 @@
       }
     }
 
-    /** Runs at this life, or not at all; while the process stands still, once it goes on. */
+    /**
+     * Runs an action in the given instance of this node, after the end of a pause; not at all if
+     * the instance has ended.
+     */
     void runInInstance(int instance, Runnable action) {
       if (alive && starts == instance) {
         if (clock.now() < pausedUntil) {
@@ -142,7 +152,7 @@
     }
 
     void sendHeartbeats() {
-      // Who has read nothing yet counts from its beginning.
+      // Before the first read, the age counts from the start of the process.
       long stateSilentMs = now() - (synced ? readAt : startedAt);
       Beat heartbeat =
           new Beat(
@@ -218,7 +228,7 @@
       acknowledgements.add(new Acknowledgement(cancel, clock.now()));
     }
 
-    /** A user cancels a job here. */
+    /** A user cancels a job at this node. */
     void cancel(boolean answerLost) {
       int instance = starts;
       clock.after(
@@ -264,7 +274,7 @@
 
   final List<String> violations = new ArrayList<>();
 
-  /** Looks at which a watermark was beyond the last reading. */
+  /** Number of observations at which a watermark was later than the last read. */
   long beyondReading;
 
   CancellationHistories(long seed, PlantedFault fault) {
@@ -293,7 +303,7 @@
     return 1 + random.nextInt(random.nextInt(30) == 0 ? 1500 : 10);
   }
 
-  /** One direction of a link: a cut holds back what is sent, and delivers it in the end. */
+  /** Sends on one direction of a link; a partition delays the delivery until it ends. */
   private void send(String link, Runnable delivery) {
     if (cutLinks.contains(link)) {
       delayedMessages.add(delivery);
@@ -341,7 +351,7 @@
             clock.now()
                 + " "
                 + node.name
-                + " vouches up to "
+                + " claims to know all up to "
                 + knownUpTo
                 + " and lacks "
                 + acknowledgement);
@@ -349,7 +359,7 @@
     }
   }
 
-  /** How far the watermark of any controller lies behind that has read the state service. */
+  /** Largest lag of the watermark of any running controller that has read the state service. */
   long furthestBehindMs() {
     return nodes.stream()
         .filter(node -> node.alive && node.synced)
@@ -358,7 +368,7 @@
         .orElse(0);
   }
 
-  /** A controller ends and is back. */
+  /** A controller crashes and restarts after {@code ms}. */
   void crash(int node, long ms) {
     nodes.get(node).crash(ms);
   }
@@ -367,7 +377,7 @@
     clock.runUntil(clock.now() + ms);
   }
 
-  /** Faults of all kinds, alone and together. */
+  /** Runs with random faults of all kinds, also several at a time. */
   void runWithFaults(long ms) {
     long end = clock.now() + ms;
     runFor(5000);
@@ -378,8 +388,8 @@
   }
 
   /**
-   * One is still refused when an outage is over, and another, which may have begun anew meanwhile,
-   * is not heard by it while it tells users of cancellations.
+   * The state service still refuses one controller when an outage is over, and a second one, which
+   * may have restarted meanwhile, is not heard by the first while it acknowledges cancellations.
    */
   private void refusedAfterAnOutage(Node sender, Node refused) {
     long ms = 4500 + random.nextInt(4000);
--- a/src/test/java/dunlincroft/membership/FailureDetectorTest.java
+++ b/src/test/java/dunlincroft/membership/FailureDetectorTest.java
@@ -23,7 +23,9 @@
 class FailureDetectorTest {
   private static final List<String> OTHERS = List.of("b", "c", "d", "e");
 
-  /** Nobody who is there is condemned, and a crash is seen in half of the time of a fixed wait. */
+  /**
+   * No running peer is condemned, and a crash is detected in half of the time of a fixed timeout.
+   */
   @ParameterizedTest
   @EnumSource(Kind.class)
   void condemnsOnlyCrashedPeersAndSoonerThanAFixedTimeout(Kind kind) {
@@ -31,15 +33,15 @@
     long fixed = 0;
     for (long seed = 1; seed <= 6; seed++) {
       List<Verdicts> verdicts = HeartbeatHistories.simulate(kind, seed, 300);
-      assertThat(verdicts.get(0).wrong).as("wrong verdicts, seed %d", seed).isZero();
-      assertThat(verdicts.get(0).right).as("verdicts of the four others").isEqualTo(4);
+      assertThat(verdicts.get(0).wrong).as("wrongly condemned, seed %d", seed).isZero();
+      assertThat(verdicts.get(0).right).as("condemned by the four others").isEqualTo(4);
       graded += verdicts.get(0).firstMs;
       fixed += verdicts.get(HeartbeatHistories.FIXED_TIMEOUTS_MS.size()).firstMs;
     }
     assertThat(2 * graded).isLessThanOrEqualTo(fixed);
   }
 
-  /** Everybody beats regularly for a while. */
+  /** The given peers send heartbeats at regular intervals. */
   private static long heartbeatsFrom(
       FailureDetector detector, List<String> nodes, long from, long until) {
     long now = from;
@@ -56,7 +58,7 @@
     return new Hearing(node, silentMs, count, suspected, suspected, false);
   }
 
-  /** c, d and e say what they hear of b, until then. */
+  /** Peers c, d and e send an observation of b with each heartbeat. */
   private static long relay(FailureDetector detector, Hearing observed, long from, long until) {
     long now = from;
     for (; now < until; now += 100) {
@@ -68,7 +70,10 @@
     return now;
   }
 
-  /** After a cut all beats come at once. They once made a regular peer suspect at its next one. */
+  /**
+   * After a partition delayed heartbeats arrive all at once. Taken as intervals they made a regular
+   * peer look late, and it was suspected before its next heartbeat.
+   */
   @Test
   void delayedHeartbeatsDoNotChangeTheEstimate() {
     FailureDetector detector = new FailureDetector("a", OTHERS, 0);
@@ -81,8 +86,8 @@
   }
 
   /**
-   * A process that is back in a fraction of a second has beats of its former life still on their
-   * way. They say nothing of the new one: if that ends, it is not kept alive by them.
+   * Heartbeats of an earlier incarnation can arrive after a restart within a fraction of a second.
+   * They must not keep the new incarnation alive if that ends.
    */
   @Test
   void heartbeatsOfAnEarlierIncarnationAreIgnored() {
@@ -96,7 +101,7 @@
     assertThat(detector.state("b")).isEqualTo(PeerState.SUSPECTED);
     detector.heartbeatReceived(new Beat("b", 0, 0, 0, 0, 0, List.of()), now);
     assertThat(detector.state("b"))
-        .as("a third life, before its hold")
+        .as("a third incarnation, before its session lease")
         .isEqualTo(PeerState.TRUSTED);
   }
 
@@ -106,7 +111,7 @@
     long now = heartbeatsFrom(detector, OTHERS, 0, 20_000);
     now = relay(detector, observation("b", 100, 0, false), now, now + 1500);
     assertThat(detector.state("b"))
-        .as("what others hear at the old count")
+        .as("observations with the old number of refutations")
         .isEqualTo(PeerState.SUSPECTED);
     now = relay(detector, observation("b", 100, 1, false), now, now + 3000);
     assertThat(detector.state("b")).isEqualTo(PeerState.TRUSTED);
@@ -142,7 +147,8 @@
     }
     assertThat(detector.isIsolated()).isTrue();
     OTHERS.forEach(other -> assertThat(detector.state(other)).isEqualTo(PeerState.SUSPECTED));
-    // The cut was ours and ends: b, heard a moment later than the others, has not failed.
+    // The partition of this node ends: b is heard a moment later than the others and has not
+    // failed.
     now = heartbeatsFrom(detector, List.of("c", "d", "e"), now, now + 1000);
     assertThat(detector.state("b")).isEqualTo(PeerState.SUSPECTED);
     assertThat(detector.isIsolated()).isTrue();
@@ -161,7 +167,10 @@
     assertThat(detector.state("b")).isEqualTo(PeerState.SUSPECTED);
   }
 
-  /** Whatever fails: one order for all to compute, everybody in it once, shards spread out. */
+  /**
+   * For any failure: all compute the same order, every candidate is in it once, and shards are
+   * spread over candidates.
+   */
   @Property(seed = "7", tries = 200)
   void successionIsDeterministicAndSpread(
       @ForAll @IntRange(min = 1, max = 5) int shards,
--- a/src/test/java/dunlincroft/membership/HeartbeatHistories.java
+++ b/src/test/java/dunlincroft/membership/HeartbeatHistories.java
@@ -12,14 +12,14 @@
 import java.util.Set;
 
 /**
- * Generated histories of beats between five controllers, played to the failure detector and, beside
- * it, to the fixed wait that went before: who is condemned by whom, when, and whether it was there.
+ * Random histories of heartbeats between five controllers, for the failure detector and, to
+ * compare, for fixed timeouts: who condemns whom, when, and whether that peer was alive.
  */
 final class HeartbeatHistories {
   static final int NODES = 5;
   private static final long TICK_MS = 200;
 
-  /** What troubles the controllers. */
+  /** Faults of a history. */
   enum Kind {
     NO_FAULTS(0, 0, 0, 1),
     LOSS_5(0.05, 0, 0, 1),
@@ -27,15 +27,15 @@
     PAUSES(0, 500, 2000, 1),
     SLOW_TIMERS(0, 0, 0, 3);
 
-    /** Of packets, part that is lost and sent again. */
+    /** Fraction of packets that are lost and sent again. */
     final double loss;
 
-    /** Length of pauses in milliseconds, one of each node every 20 s or so. */
+    /** Length of pauses in milliseconds; each node pauses every 20 s on average. */
     final int pauseMinMs;
 
     final int pauseMaxMs;
 
-    /** By how much timers are late: a processor that is shared. */
+    /** Factor by which timers are late, as on a shared processor. */
     final double timerFactor;
 
     Kind(double loss, int pauseMinMs, int pauseMaxMs, double timerFactor) {
@@ -46,10 +46,16 @@
     }
   }
 
-  /** Fixed waits to compare with, in milliseconds; the last is the one that went before. */
+  /**
+   * Fixed timeouts to compare with, in milliseconds; the last is the one used before the present
+   * detector.
+   */
   static final List<Long> FIXED_TIMEOUTS_MS = List.of(700L, 1200L, 1700L, 2200L);
 
-  /** Of one detector: verdicts on controllers that were there, and ms from a crash to the first. */
+  /**
+   * Results of one detector: peers condemned while alive (wrong) and after their crash (right), and
+   * milliseconds from the crash to the first of these.
+   */
   static final class Verdicts {
     int wrong;
     int right;
@@ -70,10 +76,10 @@
   private final VirtualClock clock = new VirtualClock();
   private final List<Node> nodes = new ArrayList<>();
 
-  /** The new detector's verdicts, then those of each fixed wait. */
+  /** Results of the failure detector, then those of each fixed timeout. */
   private final List<Verdicts> verdicts = new ArrayList<>();
 
-  /** One controller's clockwork, as {@code Controller} and {@code PeerLink} drive it. */
+  /** One controller, driven like {@code Controller} and {@code PeerLink} do. */
   private final class Node {
     final String name;
     final FailureDetector detector;
@@ -97,7 +103,7 @@
       lastTick = clock.now();
     }
 
-    /** Runs at once, or when the pause is over; not at all if the node is down. */
+    /** Runs an action at once, or when the pause is over; not at all if the node is down. */
     void runWhenActive(Runnable action) {
       if (pausedUntil > clock.now()) {
         clock.after(pausedUntil - clock.now(), () -> runWhenActive(action));
@@ -165,7 +171,10 @@
       }
     }
 
-    /** As it was with 2.2 s: most controllers, we among them, have heard nothing for so long. */
+    /**
+     * A fixed timeout, as formerly used with 2.2 s: the majority of controllers, this one included,
+     * has heard nothing for so long.
+     */
     private boolean isOverFixedTimeout(String node, long ms) {
       if (clock.now() - heardAt.get(node) <= ms) {
         return false;
@@ -197,7 +206,7 @@
     return (long) (ms * (isDelayed ? kind.timerFactor * factor : factor));
   }
 
-  /** Plays so many seconds; then one of the five crashes for good, and ten more seconds pass. */
+  /** Runs for {@code seconds}, then crashes one of the five controllers and runs for 10 s more. */
   static List<Verdicts> simulate(Kind kind, long seed, long seconds) {
     HeartbeatHistories history = new HeartbeatHistories(kind, seed);
     for (int i = 0; i < NODES; i++) {
@@ -228,7 +237,7 @@
         });
   }
 
-  /** Prints the table of docs/membership.md: hours of each kind of history. */
+  /** Prints the table of docs/membership.md, from hours of each kind of history. */
   public static void main(String[] args) {
     int runs = 48;
     System.out.println("| history | detector | first verdict, median ms | wrong verdicts a day |");
--- a/src/test/java/dunlincroft/membership/LowWatermarkTest.java
+++ b/src/test/java/dunlincroft/membership/LowWatermarkTest.java
@@ -8,11 +8,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The low watermark of cancellations, against histories of everything that can go wrong. */
+/** Checks the low watermark of cancellations against random histories with all kinds of faults. */
 class LowWatermarkTest {
   private static final int SEEDS = 150;
 
-  /** Nobody's watermark ever passes a cancellation that some user was told and it does not know. */
+  /**
+   * No node's watermark passes a cancellation that was acknowledged to a user and that the node
+   * does not know.
+   */
   @Test
   void neverPassesAnUnknownCancellation() {
     long acknowledged = 0;
@@ -24,13 +27,13 @@
       acknowledged += history.acknowledgedCount();
       beyondReading += history.beyondReading;
     }
-    // The histories are about something: much is told, and word of others often carries further
-    // than the last reading.
+    // Guards against empty histories: many cancellations are acknowledged, and reports of other
+    // nodes often move the watermark past the last read.
     assertThat(acknowledged).isGreaterThan(20L * SEEDS);
     assertThat(beyondReading).isGreaterThan(100L * SEEDS);
   }
 
-  /** Each way to get it wrong is found by the observer. */
+  /** The observer detects each planted fault. */
   @ParameterizedTest
   @EnumSource(value = PlantedFault.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
   void plantedFaultsAreDetected(PlantedFault fault) {
@@ -43,7 +46,10 @@
     assertThat(found).isPositive();
   }
 
-  /** Nor do those that end in it, one after the other, as long as each is soon back. */
+  /**
+   * Nodes that restart during an outage, one after the other, do not block the watermark if each is
+   * soon back.
+   */
   @ParameterizedTest
   @ValueSource(longs = {100, 3000, 8000})
   void quickRestartsDoNotBlockTheWatermarkInAnOutage(long awayMs) {
@@ -63,7 +69,10 @@
     }
   }
 
-  /** While all hear each other, an outage holds no watermark up, whatever was told before it. */
+  /**
+   * While all nodes hear each other, an outage does not block the watermark, whatever was
+   * acknowledged before it.
+   */
   @Test
   void anOutageDoesNotBlockTheWatermarkOfConnectedPeers() {
     for (long seed = 1; seed <= 20; seed++) {
