--- a/src/main/java/dunlincroft/Main.java
+++ b/src/main/java/dunlincroft/Main.java
@@ -131,7 +131,11 @@
       Map<String, InetSocketAddress> others =
           settings.others().stream()
               .collect(Collectors.toMap(Settings.Peer::node, Settings.Peer::address));
-      new PeerLink(env, controller::beat, controller::heard, controller::refused)
+      new PeerLink(
+              env,
+              controller::peerHeartbeat,
+              controller::onPeerHeartbeat,
+              controller::onConnectionRefusal)
           .start(settings.back(), others);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/dunlincroft/Rehearsal.java
+++ b/src/main/java/dunlincroft/Rehearsal.java
@@ -51,7 +51,12 @@
     Controller controller = new Controller(settings, Policy.PRESET, env);
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     Channel server = new HttpServer(env, new HttpFront(controller)).listen(any);
-    PeerLink link = new PeerLink(env, controller::beat, controller::heard, controller::refused);
+    PeerLink link =
+        new PeerLink(
+            env,
+            controller::peerHeartbeat,
+            controller::onPeerHeartbeat,
+            controller::onConnectionRefusal);
     Channel back = link.start(any, Map.of());
     link.start(any, Map.of("n", (InetSocketAddress) back.localAddress()));
     env.enter(controller::start);
--- a/src/main/java/dunlincroft/coordination/AnswerHandler.java
+++ b/src/main/java/dunlincroft/coordination/AnswerHandler.java
@@ -11,11 +11,11 @@
 final class AnswerHandler {
   private static final Logger LOG = LoggerFactory.getLogger(AnswerHandler.class);
 
-  private final World world;
+  private final ClusterState world;
   private final ReportHandler reports;
   private final FenceRaiser fences;
 
-  AnswerHandler(World world, ReportHandler reports, FenceRaiser fences) {
+  AnswerHandler(ClusterState world, ReportHandler reports, FenceRaiser fences) {
     this.world = world;
     this.reports = reports;
     this.fences = fences;
@@ -35,7 +35,7 @@
   boolean take(Machine machine, Known known, Reply reply) {
     try {
       WorkerReport report = WorkerReport.parse(Cbor.parse(reply.body()));
-      if (!report.host().equals(machine.host) || report.fence() > world.fence(machine)) {
+      if (!report.host().equals(machine.host) || report.fence() > world.fenceToken(machine)) {
         return false;
       }
       if (!report.after(known.tenure, known.counter)) {
@@ -60,7 +60,7 @@
    */
   private void restarted(Machine machine, WorkerReport report) {
     LOG.info("host {} has restarted: its {} tasks too", machine.host, machine.placed.size());
-    long fence = world.fence(machine);
+    long fence = world.fenceToken(machine);
     machine.session.onRestart(fence);
     reports.read(machine, report);
     fences.raise(machine);
--- a/src/main/java/dunlincroft/coordination/World.java
+++ b/src/main/java/dunlincroft/coordination/ClusterState.java
@@ -31,57 +31,57 @@
 import org.slf4j.LoggerFactory;
 
 /** What this node knows and holds; shared by the parts of the scheduler, guarded by one lock. */
-final class World {
-  private static final Logger LOG = LoggerFactory.getLogger(World.class);
+final class ClusterState {
+  private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
 
   final Settings settings;
   final Policy policy;
   final Env env;
   final StateStore store;
   final Replica replica;
-  final JobIndex index;
+  final JobIndex jobIndex;
   final BlockIndex blocks;
   Feed feed;
-  Figures figures;
+  Figures metrics;
 
   /** What other parts of the product say of starts. */
   Conditions conditions = new Conditions(List.of());
 
   /** Shards whose record names this incarnation, by name, with the record's stamp. */
-  final Object2LongOpenHashMap<String> held = new Object2LongOpenHashMap<>();
+  final Object2LongOpenHashMap<String> ownedShards = new Object2LongOpenHashMap<>();
 
   final Map<String, JobRun> jobs = new Object2ObjectLinkedOpenHashMap<>();
   final Map<String, Machine> machines = new Object2ObjectLinkedOpenHashMap<>();
-  Map<String, MachineType> types = Map.of();
+  Map<String, MachineType> machineTypes = Map.of();
   private Ring ring = new Ring(List.of());
   private boolean ringStale;
-  private long nextRing;
-  private final Map<String, List<Machine>> walks = new Object2ObjectOpenHashMap<>();
+  private long nextRingBuildMs;
+  private final Map<String, List<Machine>> preferenceLists = new Object2ObjectOpenHashMap<>();
 
   /** Parts of shares, by team and shard, whose handing over is asked for: no longer ours to use. */
-  final Map<String, Room> giving = new HashMap<>();
+  final Map<String, Room> outgoingShares = new HashMap<>();
 
-  private final Map<String, Long> attempts = new HashMap<>();
+  private final Map<String, Long> attemptCounts = new HashMap<>();
 
   /** Where machines of others are, as far as that was looked up ahead of a change of hands. */
   final Map<String, String> endpoints = new HashMap<>();
 
   /** Something changed that may let waiting work start. */
-  boolean placeDue = true;
+  boolean placementDue = true;
 
-  World(
+  ClusterState(
       Settings settings,
       Policy policy,
       Env env,
       StateStore store,
       Replica replica,
-      JobIndex index) {
+      JobIndex jobIndex) {
     this.settings = settings;
     this.policy = policy;
     this.env = env;
     this.store = store;
     this.replica = replica;
-    this.index = index;
+    this.jobIndex = jobIndex;
     this.blocks = new BlockIndex(replica);
   }
 
@@ -89,13 +89,13 @@
     return env.nowMillis();
   }
 
-  boolean holds(String shard) {
-    return held.containsKey(shard);
+  boolean owns(String shard) {
+    return ownedShards.containsKey(shard);
   }
 
   /** The higher stamp of a machine's block and shard: larger after any change of hands. */
-  long fence(Machine machine) {
-    return Math.max(machine.blockStamp, held.getLong(machine.shard));
+  long fenceToken(Machine machine) {
+    return Math.max(machine.blockStamp, ownedShards.getLong(machine.shard));
   }
 
   /**
@@ -103,41 +103,41 @@
    * and the count is within it.
    */
   long nextAttempt(String shard) {
-    long count = attempts.merge(shard, 1L, Long::sum);
-    return (held.getLong(shard) << 24) + count;
+    long number = attemptCounts.merge(shard, 1L, Long::sum);
+    return (ownedShards.getLong(shard) << 24) + number;
   }
 
-  List<Machine> walk(String image) {
-    if (ringStale && now() >= nextRing) {
+  List<Machine> preferenceList(String image) {
+    if (ringStale && now() >= nextRingBuildMs) {
       ring = new Ring(machines.values());
-      walks.clear();
+      preferenceLists.clear();
       ringStale = false;
-      nextRing = now() + Constants.RING_MS;
+      nextRingBuildMs = now() + Constants.RING_MS;
     }
-    return walks.computeIfAbsent(image, ring::walk);
+    return preferenceLists.computeIfAbsent(image, ring::preferenceList);
   }
 
   // ---- shards ----
 
   /** Begins to act for a shard: everything is rebuilt from the records. */
-  void take(String shard, long stamp) {
-    held.put(shard, stamp);
-    attempts.put(shard, 0L);
-    nextRing = 0;
-    List.copyOf(blocks.hosts()).forEach(this::block);
-    index.all().keySet().forEach(this::job);
-    placeDue = true;
+  void acquire(String shard, long ownerStamp) {
+    ownedShards.put(shard, ownerStamp);
+    attemptCounts.put(shard, 0L);
+    nextRingBuildMs = 0;
+    List.copyOf(blocks.hosts()).forEach(this::onBlockChanged);
+    jobIndex.all().keySet().forEach(this::onJobChanged);
+    placementDue = true;
     LOG.info(
         "shard {} held with stamp {}: {} jobs and {} machines known",
         shard,
-        stamp,
+        ownerStamp,
         jobs.values().stream().filter(job -> job.shard.equals(shard)).count(),
         machines.values().stream().filter(machine -> machine.shard.equals(shard)).count());
   }
 
   /** Stops acting for a shard: somebody else does. */
-  void drop(String shard) {
-    held.removeLong(shard);
+  void release(String shard) {
+    ownedShards.removeLong(shard);
     jobs.values().removeIf(job -> job.shard.equals(shard));
     machines.values().stream()
         .filter(machine -> machine.shard.equals(shard))
@@ -148,13 +148,13 @@
   // ---- following the replica ----
 
   /** The block that a machine is in was written or removed. */
-  void block(String host) {
+  void onBlockChanged(String host) {
     BlockIndex.Block block = blocks.of(host);
     Machine known = machines.get(host);
     if (block == null) {
       endpoints.remove(host);
     }
-    if (block == null || !holds(block.record().shard())) {
+    if (block == null || !owns(block.record().shard())) {
       if (known != null && known.blockStamp > 0 && known.placed.isEmpty()) {
         remove(known);
       }
@@ -178,52 +178,53 @@
               record.blockClass().lendable(),
               record.hosts().get(host),
               now());
-      known.type = types.get(known.flavour);
+      known.type = machineTypes.get(known.flavour);
       known.endpoint = endpoints.get(host);
       machines.put(host, known);
       ringStale = true;
-      known.session.onOwned(Math.max(block.stamp(), held.getLong(known.shard)));
+      known.session.onOwned(Math.max(block.stamp(), ownedShards.getLong(known.shard)));
     }
     known.blockStamp = Math.max(known.blockStamp, block.stamp());
   }
 
   /** A job was written or removed. */
-  void job(String id) {
-    JobIndex.Job recorded = index.get(id);
+  void onJobChanged(String id) {
+    JobIndex.Job recordedJob = jobIndex.get(id);
     JobRun run = jobs.get(id);
-    if (recorded == null) {
+    if (recordedJob == null) {
       if (run != null) {
         jobs.remove(id);
         run.forget();
-        placeDue = true;
+        placementDue = true;
       }
       return;
     }
-    if (run != null || !holds(recorded.shard)) {
+    if (run != null || !owns(recordedJob.shard)) {
       return;
     }
-    if (!index.readable(id, recorded.shard)) {
+    if (!jobIndex.readable(id, recordedJob.shard)) {
       LOG.error("job {} is not run: not all that is recorded of it can be read", id);
       return;
     }
-    JobRun fresh =
-        new JobRun(id, recorded.spec, recorded.shard, recorded.pageTasks, recorded.acceptedAt);
-    fresh.load(recorded);
-    for (JobPage page : fresh.record.knownPages()) {
+    JobRun created =
+        new JobRun(
+            id, recordedJob.spec, recordedJob.shard, recordedJob.pageTasks, recordedJob.acceptedAt);
+    created.load(recordedJob);
+    for (JobPage page : created.record.knownPages()) {
       page.stamp = replica.stamp(Replica.PAGES, page.name());
     }
-    for (TaskState.Place place : recorded.places()) {
-      Machine machine = machineOf(place.host(), recorded.shard);
-      Placement p = new Placement(fresh, place.task(), machine, place.attempt(), now());
+    for (TaskState.Place place : recordedJob.places()) {
+      Machine machine = machineOf(place.host(), recordedJob.shard);
+      Placement placement = new Placement(created, place.task(), machine, place.attempt(), now());
       // An earlier holder may have sent it: only the worker or a release can clear it.
-      p.sent = true;
-      fresh.placeRecorded(p);
+      placement.orderSent = true;
+      created.placeRecorded(placement);
     }
     if (replica.get(Replica.CANCELS, id) != null) {
-      fresh.cancel();
+      created.cancel();
     }
-    jobs.put(id, fresh);
-    placeDue = true;
+    jobs.put(id, created);
+    placementDue = true;
   }
 
   /** A record may name a machine whose block is gone: it must be released before tasks move. */
@@ -231,7 +232,7 @@
     Machine known = machines.get(host);
     if (known == null) {
       known = new Machine(host, shard, "", "", true, 0, now());
-      known.session.onOwned(held.getLong(shard));
+      known.session.onOwned(ownedShards.getLong(shard));
       machines.put(host, known);
       ringStale = true;
     }
@@ -247,34 +248,34 @@
     }
   }
 
-  void forget(Machine machine) {
+  void onMachineReleased(Machine machine) {
     remove(machine);
-    block(machine.host);
+    onBlockChanged(machine.host);
   }
 
-  void types(List<MachineType> all) {
+  void setMachineTypes(List<MachineType> all) {
     Map<String, MachineType> byLabel = new Object2ObjectLinkedOpenHashMap<>();
     all.forEach(type -> byLabel.put(type.label(), type));
-    types = byLabel;
-    machines.values().forEach(machine -> machine.type = types.get(machine.flavour));
-    placeDue = true;
+    machineTypes = byLabel;
+    machines.values().forEach(machine -> machine.type = machineTypes.get(machine.flavour));
+    placementDue = true;
   }
 
-  void cancelled(String id) {
+  void onCancellation(String id) {
     JobRun run = jobs.get(id);
     if (run != null && !run.cancelled && replica.get(Replica.CANCELS, id) != null) {
       run.cancel();
-      placeDue = true;
+      placementDue = true;
     }
   }
 
-  private Sides sides(JobSpec spec) {
+  private Sides migrationSides(JobSpec spec) {
     return conditions.active() && spec.daemon() ? conditions.on(spec).sides() : null;
   }
 
   /** Whether a service's replicas belong to one side each, as in a migration. */
-  boolean sided(JobSpec spec) {
-    return sides(spec) != null;
+  boolean hasMigrationSides(JobSpec spec) {
+    return migrationSides(spec) != null;
   }
 
   /** Zones in which machines of a type are of use to a job's tasks. */
@@ -282,7 +283,7 @@
     if (job.spec.hall() != null) {
       return List.of(job.spec.hall());
     }
-    Sides sides = sides(job.spec);
+    Sides sides = migrationSides(job.spec);
     List<String> zones = new ArrayList<>();
     for (int task = 0; sides != null && task < job.spec.pieces(); task++) {
       int side = sides.of(task);
@@ -296,39 +297,43 @@
   }
 
   /** Replicas of a service that are recorded on machines of the other side than theirs. */
-  int misplaced(JobIndex.Job job) {
-    Sides sides = sides(job.spec);
-    int n = 0;
+  int misplacedReplicas(JobIndex.Job job) {
+    Sides sides = migrationSides(job.spec);
+    int misplaced = 0;
     if (sides != null) {
       for (TaskState.Place place : job.places()) {
         BlockIndex.Block block = blocks.of(place.host());
         if (block != null) {
-          BlockClass of = block.record().blockClass();
-          n +=
+          BlockClass machineClass = block.record().blockClass();
+          misplaced +=
               sides.has(
-                      sides.of(place.task()), place.host(), of.flavour(), of.hall(), of.lendable())
+                      sides.of(place.task()),
+                      place.host(),
+                      machineClass.flavour(),
+                      machineClass.hall(),
+                      machineClass.lendable())
                   ? 0
                   : 1;
         }
       }
     }
-    return n;
+    return misplaced;
   }
 
   /** Whether machines should be there for a job now. */
-  boolean wanted(JobSpec spec) {
+  boolean needsMachines(JobSpec spec) {
     return !conditions.active() || conditions.on(spec).wanted();
   }
 
   /** Whether a job's tasks may go to spot machines, by the user's word and the operators'. */
-  boolean spot(JobSpec spec) {
+  boolean allowsSpot(JobSpec spec) {
     return spec.lendable() && policy.spot(spec);
   }
 
   /** The same, asked for every machine: an expression is worked out once for each job. */
-  boolean spot(JobRun job) {
+  boolean allowsSpot(JobRun job) {
     if (job.spot == null) {
-      job.spot = spot(job.spec);
+      job.spot = allowsSpot(job.spec);
     }
     return job.spot;
   }
@@ -343,7 +348,7 @@
 
   boolean allows(JobRun job, Machine machine) {
     return job.spec.allows(machine.flavour, machine.hall, machine.lendable)
-        && (!machine.lendable || spot(job));
+        && (!machine.lendable || allowsSpot(job));
   }
 
   /**
@@ -351,7 +356,7 @@
    * services that may come. Worked out once for each machine: the operators' rules rest on its type
    * and place alone.
    */
-  long kept(Machine machine, boolean prod) {
+  long reservedCpu(Machine machine, boolean prod) {
     if (machine.keptFor != machine.type) {
       machine.keptFor = machine.type;
       double cpu = machine.type.room().cpu();
@@ -364,28 +369,28 @@
   }
 
   /** Milliseconds of silence in which a worker misses so many reports. */
-  long reports(double number) {
-    return (long) (settings.reportS() * number * 1000);
+  long reportIntervalsMs(double intervals) {
+    return (long) (settings.reportS() * intervals * 1000);
   }
 
   /** Time in which we could not hear anybody counts for no machine's silence. */
-  void stoodStill(long ms) {
-    machines.values().forEach(machine -> machine.session.onPause(ms, now()));
+  void onProcessPause(long pauseMs) {
+    machines.values().forEach(machine -> machine.session.onPause(pauseMs, now()));
   }
 
-  boolean usable(Machine machine) {
-    return usable(machine, now());
+  boolean isUsable(Machine machine) {
+    return isUsable(machine, now());
   }
 
   /** The same at a moment that was read before: reading the clock has its price. */
-  boolean usable(Machine machine, long nowMs) {
-    return machine.usable(nowMs, reports(Constants.SUSPECT_REPORTS));
+  boolean isUsable(Machine machine, long nowMs) {
+    return machine.usable(nowMs, reportIntervalsMs(Constants.SUSPECT_REPORTS));
   }
 
   // ---- teams ----
 
   /** What the tasks of a team take on machines of the shard, as far as that is possible. */
-  Room used(String team, String shard) {
+  Room teamUsage(String team, String shard) {
     Room sum = Room.NONE;
     for (JobRun job : jobs.values()) {
       if (job.spec.owner().equals(team) && job.shard.equals(shard)) {
@@ -396,44 +401,46 @@
   }
 
   /** The shard's recorded share of a team's limit, less what is being given away. */
-  Room share(String team, String shard) {
+  Room usableShare(String team, String shard) {
     Item item = replica.get(Replica.SHARES, team);
-    return item == null ? Room.NONE : shareOf(item.data(), shard).minus(givenAway(team, shard));
+    return item == null
+        ? Room.NONE
+        : recordedShare(item.data(), shard).minus(outgoingShare(team, shard));
   }
 
   /** A share as recorded; nothing without a record. */
-  static Room shareOf(JsonNode record, String shard) {
+  static Room recordedShare(JsonNode record, String shard) {
     JsonNode part = record.path(shard);
     return new Room(part.path("cpu").asLong(), part.path("gpu").asLong(), Long.MAX_VALUE / 4);
   }
 
-  private Room givenAway(String team, String shard) {
-    return giving.getOrDefault(team + "/" + shard, Room.NONE);
+  private Room outgoingShare(String team, String shard) {
+    return outgoingShares.getOrDefault(team + "/" + shard, Room.NONE);
   }
 
   /**
    * So old may our knowledge of cancellations be while hellos are answered: the lease that an
    * answer renews ends within {@code cancel_s} of any cancellation that we do not know of.
    */
-  long cutMs() {
-    long spare = (long) ((settings.cancelS() - settings.leaseS()) * 1000);
-    return spare - Math.min(Constants.CUT_MARGIN_MS, spare / 2);
+  long maxCancellationLagMs() {
+    long slackMs = (long) ((settings.cancelS() - settings.leaseS()) * 1000);
+    return slackMs - Math.min(Constants.CUT_MARGIN_MS, slackMs / 2);
   }
 
   List<MachineType> allowedTypes(JobSpec spec) {
     List<MachineType> allowed = new ArrayList<>();
-    for (MachineType type : types.values()) {
-      boolean zone =
+    for (MachineType type : machineTypes.values()) {
+      boolean zoneAllowed =
           spec.hall() == null ? !type.halls().isEmpty() : type.halls().contains(spec.hall());
-      boolean flavour = spec.flavours() == null || spec.flavours().contains(type.label());
-      if (zone && flavour && spec.room().fits(type.room())) {
+      boolean typeAllowed = spec.flavours() == null || spec.flavours().contains(type.label());
+      if (zoneAllowed && typeAllowed && spec.room().fits(type.room())) {
         allowed.add(type);
       }
     }
     return allowed;
   }
 
-  static List<MachineType> parseTypes(JsonNode data) {
+  static List<MachineType> parseMachineTypes(JsonNode data) {
     try {
       return MachineType.parseAll(data);
     } catch (Malformed e) {
--- a/src/main/java/dunlincroft/coordination/Consolidation.java
+++ b/src/main/java/dunlincroft/coordination/Consolidation.java
@@ -21,13 +21,13 @@
   /** Why such a machine drains. */
   static final String SURPLUS = "surplus";
 
-  private final World world;
+  private final ClusterState world;
   private final DirectCommands commands;
   private final Demand demand;
   private final Renting renting;
   private long nextConsolidation;
 
-  Consolidation(World world, DirectCommands commands, Demand demand, Renting renting) {
+  Consolidation(ClusterState world, DirectCommands commands, Demand demand, Renting renting) {
     this.world = world;
     this.commands = commands;
     this.demand = demand;
@@ -36,10 +36,10 @@
 
   /** Empties and returns what is not needed, the dearest kind first. */
   void tick() {
-    Map<String, Demand.Need> needs = demand.needs();
-    Set<String> countedOn = renting.replicas().taken();
-    for (MachineType type : world.types.values()) {
-      Demand.Need need = needs.getOrDefault(type.label(), new Demand.Need());
+    Map<String, Demand.MachineDemand> needs = demand.smoothedDemand();
+    Set<String> countedOn = renting.replicas().reservedHosts();
+    for (MachineType type : world.machineTypes.values()) {
+      Demand.MachineDemand need = needs.getOrDefault(type.label(), new Demand.MachineDemand());
       Renting.Have have = renting.have(type.label());
       List<Machine> draining = new ArrayList<>();
       List<Machine> spare = new ArrayList<>();
@@ -64,9 +64,14 @@
       // Several holders see the same surplus: each returns its part of it.
       double part = (double) ours / Math.max(1, have.blocks());
       int overAll =
-          (int) ((have.ordinary() + have.cheap() - demand.ordinary(type, need) - need.cheap) * part)
+          (int)
+                  ((have.ordinary()
+                          + have.cheap()
+                          - demand.onDemandTarget(type, need)
+                          - need.preemptible)
+                      * part)
               - draining.size();
-      double dearOver = (have.ordinary() - demand.ordinary(type, need)) * part - dear;
+      double dearOver = (have.ordinary() - demand.onDemandTarget(type, need)) * part - dear;
       int overDear = (int) dearOver;
       if (overAll < 0) {
         draining.stream()
@@ -75,7 +80,7 @@
             .forEach(
                 machine -> {
                   machine.draining = null;
-                  world.placeDue = true;
+                  world.placementDue = true;
                 });
         continue;
       }
@@ -102,7 +107,7 @@
   private void keep(Machine machine) {
     if (SURPLUS.equals(machine.draining) && machine.lifecycle == MachineLifecycle.IN_USE) {
       machine.draining = null;
-      world.placeDue = true;
+      world.placementDue = true;
     }
   }
 
@@ -124,7 +129,7 @@
   private void move(Machine machine) {
     for (Placement p : machine.placed.values()) {
       p.job.halt(p);
-      world.figures.count(Figures.Event.MOVE);
+      world.metrics.count(Figures.Event.MOVE);
     }
     commands.push(machine);
   }
@@ -134,9 +139,9 @@
   }
 
   private boolean movable(Placement p) {
-    return Wire.RUNNING.equals(p.status)
-        && world.now() - p.sinceMs > Constants.MOVE_AFTER_MS
-        && !p.stop;
+    return Wire.RUNNING.equals(p.reportedStatus)
+        && world.now() - p.placedAtMs > Constants.MOVE_AFTER_MS
+        && !p.stopRequested;
   }
 
   /**
@@ -150,7 +155,7 @@
     }
     world.machines.values().stream()
         .filter(machine -> machine.flavour.equals(type.label()) && !machine.lendable)
-        .filter(machine -> world.usable(machine) && machine.hasDaemon() && paid(machine))
+        .filter(machine -> world.isUsable(machine) && machine.hasDaemon() && paid(machine))
         .filter(machine -> machine.placed.values().stream().allMatch(this::movable))
         .filter(this::fitsElsewhere)
         .min(Comparator.comparingLong(machine -> machine.used().cpu()))
@@ -176,7 +181,7 @@
       Machine to =
           world.machines.values().stream()
               .filter(other -> other != machine && other.shard.equals(machine.shard))
-              .filter(other -> world.usable(other) && world.allows(p.job, other))
+              .filter(other -> world.isUsable(other) && world.allows(p.job, other))
               .filter(other -> p.job.sides == null)
               .filter(other -> !spec.daemon() || other.warmth(spec.bundle()) == Machine.Warmth.WARM)
               .filter(other -> !spec.daemon() || other.leavesRoomForAZone(spec.room()))
--- a/src/main/java/dunlincroft/coordination/Controller.java
+++ b/src/main/java/dunlincroft/coordination/Controller.java
@@ -30,103 +30,106 @@
 public final class Controller {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
-  private final World world;
-  private final Membership members;
+  private final ClusterState cluster;
+  private final Membership membership;
   private final SettlementCalendar calendar;
   private final MigrationLedger migrations;
-  private final Terms terms;
-  private final Ledger ledger;
-  private final WorkerProtocol workers;
+  private final StartConditions startConditions;
+  private final Ledger placementLog;
+  private final WorkerProtocol workerProtocol;
   private final HeartbeatRouter heartbeats;
-  private final StandIn standIn;
+  private final StandIn proxyOwner;
   private final Scheduler scheduler;
-  private final Supply supply;
+  private final Supply autoscaler;
   private final Handover handover;
-  private final JobDesk jobs;
-  private final Figures figures;
+  private final JobDesk jobService;
+  private final Figures metrics;
 
-  private long dueTick;
-  private int ticks;
-  private long startedAt;
+  private long tickDueMs;
+  private int tickNumber;
+  private long startedAtMs;
   private final PeriodicTasks tasks = new PeriodicTasks();
-  private long nextPlace;
-  private long nextServices;
+  private long nextRoundMs;
+  private long nextServiceRoundMs;
 
   public Controller(Settings settings, Policy policy, Env env) {
     Replica replica = new Replica();
-    JobIndex index = new JobIndex(replica);
+    JobIndex jobIndex = new JobIndex(replica);
     StateStore store =
         new StateStore(
             env, settings.state(), settings.stateRps(), settings.stateWriteRps(), replica);
-    world = new World(settings, policy, env, store, replica, index);
-    figures = new Figures(env::wallMillis);
-    world.figures = figures;
-    calendar = new SettlementCalendar(env, store, replica, index, settings.clockOffMs());
-    migrations = new MigrationLedger(env, store, replica, index, world.blocks);
-    world.conditions = new Conditions(List.of(calendar, migrations));
-    terms = new Terms(world);
-    ledger = new Ledger(world, terms);
-    workers = new WorkerProtocol(world, ledger);
-    world.feed = new Feed(env, store, replica, this::synced);
-    members =
-        new Membership(new NodeContext(settings, env, store, replica, world.feed), new Shards());
-    standIn = new StandIn(world, members);
-    scheduler = new Scheduler(world, ledger, terms);
+    cluster = new ClusterState(settings, policy, env, store, replica, jobIndex);
+    metrics = new Figures(env::wallMillis);
+    cluster.metrics = metrics;
+    calendar = new SettlementCalendar(env, store, replica, jobIndex, settings.clockOffMs());
+    migrations = new MigrationLedger(env, store, replica, jobIndex, cluster.blocks);
+    cluster.conditions = new Conditions(List.of(calendar, migrations));
+    startConditions = new StartConditions(cluster);
+    placementLog = new Ledger(cluster, startConditions);
+    workerProtocol = new WorkerProtocol(cluster, placementLog);
+    cluster.feed = new Feed(env, store, replica, this::onSynced);
+    membership =
+        new Membership(
+            new NodeContext(settings, env, store, replica, cluster.feed), new ShardCallbacks());
+    proxyOwner = new StandIn(cluster, membership);
+    scheduler = new Scheduler(cluster, placementLog, startConditions);
     Cloud cloud =
         new Cloud(
             env,
             settings.cloud(),
-            settings.cloudRps() * Constants.BUDGET_PART / members.names().size());
-    Demand demand = new Demand(world);
-    MachineDiscovery discovery = new MachineDiscovery(world, members, demand);
-    heartbeats = new HeartbeatRouter(world, members, workers, discovery, standIn);
-    supply = new Supply(world, members, workers, ledger, cloud, demand, discovery);
-    handover = new Handover(world, members, demand);
-    jobs = new JobDesk(world, members);
-    replica.listener(this::changed);
-    ledger.onRecorded(machines -> machines.forEach(workers.commands::push));
+            settings.cloudRps() * Constants.BUDGET_PART / membership.names().size());
+    Demand demand = new Demand(cluster);
+    MachineDiscovery discovery = new MachineDiscovery(cluster, membership, demand);
+    heartbeats = new HeartbeatRouter(cluster, membership, workerProtocol, discovery, proxyOwner);
+    autoscaler =
+        new Supply(cluster, membership, workerProtocol, placementLog, cloud, demand, discovery);
+    handover = new Handover(cluster, membership, demand);
+    jobService = new JobDesk(cluster, membership);
+    replica.listener(this::onRecordChanged);
+    placementLog.onRecorded(machines -> machines.forEach(workerProtocol.commands::push));
   }
 
-  public JobDesk jobs() {
-    return jobs;
+  public JobDesk jobService() {
+    return jobService;
   }
 
   /** Begins; must run like every other event. */
   public void start() {
-    members.start();
-    world.feed.start();
-    schedule();
-    dueTick = world.now();
-    startedAt = world.now();
+    membership.start();
+    cluster.feed.start();
+    addPeriodicTasks();
+    tickDueMs = cluster.now();
+    startedAtMs = cluster.now();
     tick();
   }
 
   // ---- what changes ----
 
-  private void changed(String kind, String name) {
-    world.index.changed(kind, name);
-    members.recordChanged(kind, name);
+  private void onRecordChanged(String kind, String name) {
+    cluster.jobIndex.changed(kind, name);
+    membership.recordChanged(kind, name);
     calendar.changed(kind, name);
     migrations.changed(kind, name);
     switch (kind) {
-      case Replica.JOBS -> world.job(name);
-      case Replica.CANCELS -> cancelled(name);
-      case Replica.BLOCKS -> world.blocks.changed(name).forEach(world::block);
-      case Replica.SHARDS -> ledger.forget();
+      case Replica.JOBS -> cluster.onJobChanged(name);
+      case Replica.CANCELS -> onCancellation(name);
+      case Replica.BLOCKS -> cluster.blocks.changed(name).forEach(cluster::onBlockChanged);
+      case Replica.SHARDS -> placementLog.forget();
       case Replica.TYPES -> {
-        if (world.types.isEmpty() && world.replica.get(kind, name) != null) {
-          world.types(World.parseTypes(world.replica.get(kind, name).data()));
+        if (cluster.machineTypes.isEmpty() && cluster.replica.get(kind, name) != null) {
+          cluster.setMachineTypes(
+              ClusterState.parseMachineTypes(cluster.replica.get(kind, name).data()));
         }
       }
       default -> LOG.trace("{}/{} changed", kind, name);
     }
   }
 
-  private void cancelled(String id) {
-    world.cancelled(id);
-    JobRun run = world.jobs.get(id);
+  private void onCancellation(String id) {
+    cluster.onCancellation(id);
+    JobRun run = cluster.jobs.get(id);
     if (run != null && run.cancelled) {
-      pushSoon(machinesOf(run));
+      schedulePush(machinesOf(run));
     }
   }
 
@@ -136,33 +139,33 @@
     return machines;
   }
 
-  private void pushSoon(Collection<Machine> machines) {
+  private void schedulePush(Collection<Machine> machines) {
     if (machines.isEmpty()) {
       return;
     }
-    world.env.after(
+    cluster.env.after(
         0,
         () ->
             machines.stream()
-                .filter(machine -> world.machines.get(machine.host) == machine)
-                .forEach(workers.commands::push));
+                .filter(machine -> cluster.machines.get(machine.host) == machine)
+                .forEach(workerProtocol.commands::push));
   }
 
-  private void synced() {
-    world.index.rebuild();
-    members.names().forEach(shard -> members.recordChanged(Replica.SHARDS, shard));
+  private void onSynced() {
+    cluster.jobIndex.rebuild();
+    membership.names().forEach(shard -> membership.recordChanged(Replica.SHARDS, shard));
   }
 
   /** What membership tells us about shards. */
-  private final class Shards implements ShardListener {
+  private final class ShardCallbacks implements ShardListener {
     @Override
     public boolean owns(String shard) {
-      return world.holds(shard);
+      return cluster.owns(shard);
     }
 
     @Override
     public long stamp(String shard) {
-      return world.held.getLong(shard);
+      return cluster.ownedShards.getLong(shard);
     }
 
     /**
@@ -171,50 +174,50 @@
      */
     @Override
     public void acquire(String shard, long stamp) {
-      world.take(shard, stamp);
-      tickIn(0);
-      figures.count(Figures.Event.TAKEOVER);
+      cluster.acquire(shard, stamp);
+      scheduleTick(0);
+      metrics.count(Figures.Event.TAKEOVER);
       heartbeats.answerWaiting();
-      world.machines.values().stream()
+      cluster.machines.values().stream()
           .filter(machine -> !machine.session.hasReported())
           .sorted(
               Comparator.comparing((Machine machine) -> !machine.hasDaemon())
                   .thenComparing(machine -> machine.placed.isEmpty()))
-          .forEach(workers.probe::probe);
-      supply.findMachines();
+          .forEach(workerProtocol.probe::probe);
+      autoscaler.findMachines();
     }
 
     @Override
     public void release(String shard) {
-      world.drop(shard);
+      cluster.release(shard);
     }
 
     @Override
     public void prepareTakeover(boolean suspected) {
-      supply.lookAhead(suspected);
+      autoscaler.lookAhead(suspected);
     }
 
     @Override
     public void cancelledByPeer(String job) {
-      standIn.cancelled(job);
-      JobRun run = world.jobs.get(job);
+      proxyOwner.cancelled(job);
+      JobRun run = cluster.jobs.get(job);
       if (run != null && run.stopMode() != JobRun.StopMode.ABANDON) {
         LOG.info("job {} is cancelled, as another node told its user: stopped", job);
         run.abandon();
-        pushSoon(machinesOf(run));
+        schedulePush(machinesOf(run));
       }
     }
   }
 
   // ---- clockwork ----
 
-  private void tickIn(long ms) {
-    int mine = ++ticks;
-    dueTick = world.now() + ms;
-    world.env.after(
-        ms,
+  private void scheduleTick(long delayMs) {
+    int number = ++tickNumber;
+    tickDueMs = cluster.now() + delayMs;
+    cluster.env.after(
+        delayMs,
         () -> {
-          if (mine == ticks) {
+          if (number == tickNumber) {
             tick();
           }
         });
@@ -222,151 +225,155 @@
 
   /** Who has nothing to run ticks seldom; the next tick after a takeover is due at once. */
   private void tick() {
-    long now = world.now();
-    long stood = now - dueTick;
-    boolean calm = world.machines.isEmpty() && world.jobs.isEmpty();
-    tickIn(calm ? Constants.CALM_TICKS * Constants.PLACE_MS : Constants.PLACE_MS);
-    if (stood > Constants.STOOD_STILL_MS) {
-      stoodStill(stood);
-    } else if (stood > Constants.LATE_MS) {
-      members.ticksDelayed();
+    long now = cluster.now();
+    long lateMs = now - tickDueMs;
+    boolean isIdle = cluster.machines.isEmpty() && cluster.jobs.isEmpty();
+    scheduleTick(isIdle ? Constants.CALM_TICKS * Constants.PLACE_MS : Constants.PLACE_MS);
+    if (lateMs > Constants.STOOD_STILL_MS) {
+      onProcessPause(lateMs);
+    } else if (lateMs > Constants.LATE_MS) {
+      membership.ticksDelayed();
     }
     tasks.runDue(now);
   }
 
   /** What every controller does again and again, in the order of one tick. */
-  private void schedule() {
-    long slow = Constants.SLOW_TICKS * Constants.PLACE_MS;
-    tasks.every(slow, "share the budget of the state service", now -> share());
-    tasks.every(slow, "membership", now -> members.tick());
-    tasks.every(slow, "admission", this::tickAdmission);
-    tasks.every(slow, "answer waiting heartbeats", now -> heartbeats.answerWaiting());
-    tasks.every(slow, "machine types", now -> supply.typesTick());
-    tasks.every(slow, "leases and conditions, as the leader", now -> leadSlow());
-    tasks.every(slow, "end what conditions end", now -> pushSoon(terms.end()));
-    tasks.every(Constants.SUPPLY_MS, "machines, as the leader", now -> leadSupply());
-    tasks.every(Constants.SUPPLY_MS, "machines, as the owner", now -> supply.holderTick());
-    tasks.every(Constants.SUPPLY_MS, "handover", now -> handOver());
-    tasks.every(Constants.SUPPLY_MS, "placement due", now -> world.placeDue = true);
-    tasks.everyTick("placement", this::placeIfDue);
-    tasks.everyTick("records", now -> flush());
-    long firstFigures = world.now() + Constants.FIGURES_MS;
-    tasks.everyFrom(firstFigures, Constants.FIGURES_MS, "figures", now -> logFigures());
+  private void addPeriodicTasks() {
+    long slowPeriodMs = Constants.SLOW_TICKS * Constants.PLACE_MS;
+    tasks.every(slowPeriodMs, "share the budget of the state service", now -> updateRateShares());
+    tasks.every(slowPeriodMs, "membership", now -> membership.tick());
+    tasks.every(slowPeriodMs, "admission", this::tickAdmission);
+    tasks.every(slowPeriodMs, "answer waiting heartbeats", now -> heartbeats.answerWaiting());
+    tasks.every(slowPeriodMs, "machine types", now -> autoscaler.typesTick());
+    tasks.every(slowPeriodMs, "leases and conditions, as the leader", now -> runLeaderDuties());
+    tasks.every(
+        slowPeriodMs, "end what conditions end", now -> schedulePush(startConditions.stopEnded()));
+    tasks.every(Constants.SUPPLY_MS, "machines, as the leader", now -> runLeaderScaling());
+    tasks.every(Constants.SUPPLY_MS, "machines, as the owner", now -> autoscaler.holderTick());
+    tasks.every(Constants.SUPPLY_MS, "handover", now -> runHandover());
+    tasks.every(Constants.SUPPLY_MS, "placement due", now -> cluster.placementDue = true);
+    tasks.everyTick("placement", this::runRoundIfDue);
+    tasks.everyTick("records", now -> flushPlacements());
+    long firstLogMs = cluster.now() + Constants.FIGURES_MS;
+    tasks.everyFrom(firstLogMs, Constants.FIGURES_MS, "figures", now -> logMetrics());
   }
 
   private void tickAdmission(long now) {
-    jobs.admission().tick(world.store.acceptsPerSecond(), now);
+    jobService.admission().tick(cluster.store.acceptsPerSecond(), now);
   }
 
-  private boolean leads() {
-    return members.isLeader() && world.feed.synced();
+  private boolean isLeader() {
+    return membership.isLeader() && cluster.feed.synced();
   }
 
-  private void leadSlow() {
-    if (leads()) {
-      members.renewLeases(world.blocks.hosts().size(), world.policy.holderMachines());
-      calendar.lead(() -> members.guardAsLeader(new Txn()), world.settings.txnOps());
-      migrations.lead(() -> members.guardAsLeader(new Txn()), world.settings.txnOps());
+  private void runLeaderDuties() {
+    if (isLeader()) {
+      membership.renewLeases(cluster.blocks.hosts().size(), cluster.policy.holderMachines());
+      calendar.lead(() -> membership.guardAsLeader(new Txn()), cluster.settings.txnOps());
+      migrations.lead(() -> membership.guardAsLeader(new Txn()), cluster.settings.txnOps());
     }
   }
 
-  private void leadSupply() {
-    if (leads()) {
-      supply.leaderTick();
+  private void runLeaderScaling() {
+    if (isLeader()) {
+      autoscaler.leaderTick();
     }
   }
 
-  private void handOver() {
-    if (fresh()) {
+  private void runHandover() {
+    if (isCurrentOwner()) {
       handover.tick();
     }
   }
 
   /** Rounds never take more than a part of the processor, however much waits. */
-  private void placeIfDue(long now) {
-    if (!world.placeDue || !fresh()) {
+  private void runRoundIfDue(long now) {
+    if (!cluster.placementDue || !isCurrentOwner()) {
       return;
     }
-    if (now >= nextPlace) {
-      world.placeDue = false;
-      nextPlace = now + place(false);
-    } else if (now >= nextServices) {
-      nextServices = now + place(true);
+    if (now >= nextRoundMs) {
+      cluster.placementDue = false;
+      nextRoundMs = now + runRound(false);
+    } else if (now >= nextServiceRoundMs) {
+      nextServiceRoundMs = now + runRound(true);
     }
   }
 
-  private void flush() {
-    if (fresh()) {
-      ledger.flush();
+  private void flushPlacements() {
+    if (isCurrentOwner()) {
+      placementLog.flush();
     }
   }
 
-  private void logFigures() {
-    jobs.admission().log();
-    figures.log(
+  private void logMetrics() {
+    jobService.admission().log();
+    metrics.log(
         "leader="
-            + members.leader()
+            + membership.leader()
             + " shards="
-            + world.held.keySet()
+            + cluster.ownedShards.keySet()
             + " jobs="
-            + world.index.all().size()
+            + cluster.jobIndex.all().size()
             + " machines="
-            + world.blocks.hosts().size()
+            + cluster.blocks.hosts().size()
             + " state service: "
-            + world.store.figures());
+            + cluster.store.figures());
   }
 
   /** One round; returns the pause that it must be followed by. */
-  private long place(boolean services) {
-    long before = world.now();
-    pushSoon(scheduler.place(services));
-    return Math.max(Constants.PLACE_MS, Constants.PLACE_REST * (world.now() - before));
+  private long runRound(boolean servicesOnly) {
+    long startMs = cluster.now();
+    schedulePush(scheduler.place(servicesOnly));
+    return Math.max(Constants.PLACE_MS, Constants.PLACE_REST * (cluster.now() - startMs));
   }
 
   /**
    * We heard nobody while we stood still: silence that was ours is nobody else's. What rests on the
    * state service's word (our holds, how current our replica is) keeps its true age.
    */
-  private void stoodStill(long ms) {
+  private void onProcessPause(long pauseMs) {
     LOG.info(
-        "node {} stood still for {} ms: what it did not hear meanwhile is no silence", me(), ms);
-    figures.count(Figures.Event.STANDSTILL);
-    world.stoodStill(ms);
-    members.pauseDetected(ms);
-    jobs.admission().pauseDetected();
+        "node {} stood still for {} ms: what it did not hear meanwhile is no silence",
+        nodeName(),
+        pauseMs);
+    metrics.count(Figures.Event.STANDSTILL);
+    cluster.onProcessPause(pauseMs);
+    membership.pauseDetected(pauseMs);
+    jobService.admission().pauseDetected();
   }
 
-  private String me() {
-    return world.settings.node();
+  private String nodeName() {
+    return cluster.settings.node();
   }
 
-  private boolean fresh() {
-    return !world.held.isEmpty()
-        && world.feed.synced()
-        && world.feed.silentMs() < Constants.STALE_MS;
+  private boolean isCurrentOwner() {
+    return !cluster.ownedShards.isEmpty()
+        && cluster.feed.synced()
+        && cluster.feed.silentMs() < Constants.STALE_MS;
   }
 
   /** Who holds machines must see new jobs at once; the others mostly accept them. */
-  private void share() {
-    boolean holder = members.leasedShards().stream().anyMatch(world::holds);
-    world.feed.pause(holder ? Constants.WATCH_PAUSE_MS : Constants.WATCH_CALM_MS);
-    members.shareRates();
+  private void updateRateShares() {
+    boolean ownsLeasedShard = membership.leasedShards().stream().anyMatch(cluster::owns);
+    cluster.feed.pause(ownsLeasedShard ? Constants.WATCH_PAUSE_MS : Constants.WATCH_CALM_MS);
+    membership.shareRates();
   }
 
   // ---- the link ----
 
-  public Beat beat() {
-    return members.heartbeat(jobs.admission().load(world.now()), supply.silentMachines());
+  public Beat peerHeartbeat() {
+    return membership.heartbeat(
+        jobService.admission().load(cluster.now()), autoscaler.silentMachines());
   }
 
-  public void heard(Beat beat) {
-    members.heartbeatReceived(beat);
-    jobs.admission().loadReceived(beat.node(), beat.load(), world.now());
+  public void onPeerHeartbeat(Beat heartbeat) {
+    membership.heartbeatReceived(heartbeat);
+    jobService.admission().loadReceived(heartbeat.node(), heartbeat.load(), cluster.now());
   }
 
   /** Another controller refuses connections of ours, or no longer does. */
-  public void refused(String node, boolean refused) {
-    members.connectionRefused(node, refused);
+  public void onConnectionRefusal(String node, boolean refused) {
+    membership.connectionRefused(node, refused);
   }
 
   /**
@@ -374,17 +381,20 @@
    * second or two: the balancer would leave everybody out for three seconds at least, and twice as
    * long each time. A node alone in its trouble becomes unready.
    */
-  public boolean ready() {
+  public boolean isReady() {
     boolean current =
-        world.feed.synced() && !world.types.isEmpty() && world.feed.silentMs() < Constants.STALE_MS;
-    boolean begins = world.now() - startedAt < Constants.BEGIN_MS && !members.hasActivePeers();
-    return current || begins || members.areAllPeersDisconnected();
+        cluster.feed.synced()
+            && !cluster.machineTypes.isEmpty()
+            && cluster.feed.silentMs() < Constants.STALE_MS;
+    boolean isStarting =
+        cluster.now() - startedAtMs < Constants.BEGIN_MS && !membership.hasActivePeers();
+    return current || isStarting || membership.areAllPeersDisconnected();
   }
 
   // ---- workers ----
 
   /** Answers a worker: orders from the holder of its machine's shard, or the way there. */
-  public void hello(WorkerReport report, Responder out) {
+  public void onWorkerHeartbeat(WorkerReport report, Responder out) {
     heartbeats.answer(report, out);
   }
 }
--- a/src/main/java/dunlincroft/coordination/Demand.java
+++ b/src/main/java/dunlincroft/coordination/Demand.java
@@ -16,131 +16,135 @@
 /** What all waiting and running work wants of machines, read off the records. */
 final class Demand {
   /** Machines wanted of a type: for work that needs ordinary ones, and for the rest. */
-  static final class Need {
-    double ordinary;
-    double cheap;
+  static final class MachineDemand {
+    double onDemand;
+    double preemptible;
   }
 
-  private final World world;
-  private final Map<String, Need> smooth = new HashMap<>();
-  private long smoothedAt;
+  private final ClusterState cluster;
+  private final Map<String, MachineDemand> smoothed = new HashMap<>();
+  private long smoothedAtMs;
 
-  Demand(World world) {
-    this.world = world;
+  Demand(ClusterState cluster) {
+    this.cluster = cluster;
   }
 
   /** The needs, slow to rise over a short burst and slower to fall between two. */
-  Map<String, Need> needs() {
-    double seconds = (world.now() - smoothedAt) / 1000.0;
+  Map<String, MachineDemand> smoothedDemand() {
+    double seconds = (cluster.now() - smoothedAtMs) / 1000.0;
     if (seconds * 1000 < Constants.SUPPLY_MS / 2.0) {
-      return smooth;
+      return smoothed;
     }
-    smoothedAt = world.now();
-    Map<String, Need> needs = needsNow();
-    for (String type : world.types.keySet()) {
-      Need now = needs.getOrDefault(type, new Need());
-      Need need = smooth.computeIfAbsent(type, label -> now);
-      need.ordinary = approach(need.ordinary, now.ordinary, seconds);
-      need.cheap = approach(need.cheap, now.cheap, seconds);
+    smoothedAtMs = cluster.now();
+    Map<String, MachineDemand> demandByType = currentDemand();
+    for (String type : cluster.machineTypes.keySet()) {
+      MachineDemand current = demandByType.getOrDefault(type, new MachineDemand());
+      MachineDemand average = smoothed.computeIfAbsent(type, label -> current);
+      average.onDemand = approach(average.onDemand, current.onDemand, seconds);
+      average.preemptible = approach(average.preemptible, current.preemptible, seconds);
     }
-    return smooth;
+    return smoothed;
   }
 
   private static double approach(double from, double to, double seconds) {
-    double pace =
+    double timeConstantS =
         to > from * Constants.NEED_JUMP
             ? Constants.NEED_JUMP_S
             : to > from ? Constants.NEED_RISE_S : Constants.NEED_FALL_S;
-    return to + (from - to) * Math.exp(-seconds / pace);
+    return to + (from - to) * Math.exp(-seconds / timeConstantS);
   }
 
-  private Map<String, Need> needsNow() {
-    Map<String, Need> needs = new HashMap<>();
-    Map<String, Room> left = new HashMap<>();
-    for (JobIndex.Job job : world.index.all().values()) {
+  private Map<String, MachineDemand> currentDemand() {
+    Map<String, MachineDemand> demandByType = new HashMap<>();
+    Map<String, Room> remainingLimits = new HashMap<>();
+    for (JobIndex.Job job : cluster.jobIndex.all().values()) {
       JobSpec spec = job.spec;
-      Settings.Team team = world.settings.teams().get(spec.owner());
-      MachineType type = cheapest(spec);
-      if (team == null || type == null || cancelled(spec) || !world.wanted(spec)) {
+      Settings.Team team = cluster.settings.teams().get(spec.owner());
+      MachineType type = cheapestType(spec);
+      if (team == null || type == null || isCancelled(spec) || !cluster.needsMachines(spec)) {
         continue;
       }
-      Room room = left.getOrDefault(team.name(), team.limit());
+      Room remaining = remainingLimits.getOrDefault(team.name(), team.limit());
       // Who is to move needs room where it goes before it leaves.
-      int open = spec.room().countIn(room, job.wanted() + world.misplaced(job));
-      left.put(team.name(), room.minus(spec.room().times(open)));
-      Need need = needs.computeIfAbsent(type.label(), label -> new Need());
-      if (world.spot(spec)) {
-        need.cheap += machines(spec, type, open);
+      int demandedTasks =
+          spec.room().countIn(remaining, job.wanted() + cluster.misplacedReplicas(job));
+      remainingLimits.put(team.name(), remaining.minus(spec.room().times(demandedTasks)));
+      MachineDemand demand =
+          demandByType.computeIfAbsent(type.label(), label -> new MachineDemand());
+      if (cluster.allowsSpot(spec)) {
+        demand.preemptible += machinesFor(spec, type, demandedTasks);
       } else {
-        need.ordinary += machines(spec, type, open);
+        demand.onDemand += machinesFor(spec, type, demandedTasks);
       }
     }
-    return needs;
+    return demandByType;
   }
 
   /** Machines of the type that services and other work without spot machines want. */
-  double ordinary(MachineType type, Need need) {
-    double spare = world.policy.spare(type) * type.halls().size();
-    return Math.max(type.halls().size(), need.ordinary + spare);
+  double onDemandTarget(MachineType type, MachineDemand demand) {
+    double spare = cluster.policy.spare(type) * type.halls().size();
+    return Math.max(type.halls().size(), demand.onDemand + spare);
   }
 
   /** The type whose machines are the cheapest for a job's tasks, or null when none fits. */
-  MachineType cheapest(JobSpec spec) {
-    return world.allowedTypes(spec).stream()
+  MachineType cheapestType(JobSpec spec) {
+    return cluster.allowedTypes(spec).stream()
         .min(
             Comparator.comparingDouble(
                 type ->
-                    (world.spot(spec) ? Math.min(type.price(), type.lowPrice()) : type.price())
-                        * machines(spec, type, 1)))
+                    (cluster.allowsSpot(spec)
+                            ? Math.min(type.price(), type.lowPrice())
+                            : type.price())
+                        * machinesFor(spec, type, 1)))
         .orElse(null);
   }
 
-  private static double machines(JobSpec spec, MachineType type, int tasks) {
+  private static double machinesFor(JobSpec spec, MachineType type, int tasks) {
     return (double) tasks / Math.max(1, spec.room().countIn(type.room(), Constants.MAX_PIECES));
   }
 
-  boolean cancelled(JobSpec spec) {
-    return world.replica.get(Replica.CANCELS, spec.ref()) != null;
+  boolean isCancelled(JobSpec spec) {
+    return cluster.replica.get(Replica.CANCELS, spec.ref()) != null;
   }
 
   // ---- by shard ----
 
   /** The numbers of machines in recorded blocks, by class and shard. */
-  Map<BlockClass, Map<String, Integer>> blocks() {
-    Map<BlockClass, Map<String, Integer>> blocks = new HashMap<>();
-    for (BlockIndex.Block block : world.blocks.all()) {
-      blocks
+  Map<BlockClass, Map<String, Integer>> machinesByClass() {
+    Map<BlockClass, Map<String, Integer>> machines = new HashMap<>();
+    for (BlockIndex.Block block : cluster.blocks.all()) {
+      machines
           .computeIfAbsent(block.record().blockClass(), c -> new HashMap<>())
           .merge(block.record().shard(), block.record().hosts().size(), Integer::sum);
     }
-    return blocks;
+    return machines;
   }
 
   /** Machines' worth of open work that blocks of this class may run, by shard. */
-  Map<String, Double> byShard(BlockClass blocks) {
+  Map<String, Double> machinesByShard(BlockClass machineClass) {
     Map<String, Double> work = new HashMap<>();
-    MachineType type = world.types.get(blocks.flavour());
-    if (type == null || !type.halls().contains(blocks.hall())) {
+    MachineType type = cluster.machineTypes.get(machineClass.flavour());
+    if (type == null || !type.halls().contains(machineClass.hall())) {
       return work;
     }
-    for (JobIndex.Job job : world.index.all().values()) {
+    for (JobIndex.Job job : cluster.jobIndex.all().values()) {
       JobSpec spec = job.spec;
-      if (spec.allows(blocks.flavour(), blocks.hall(), blocks.lendable())
+      if (spec.allows(machineClass.flavour(), machineClass.hall(), machineClass.lendable())
           && spec.room().fits(type.room())
-          && (!blocks.lendable() || world.policy.spot(spec))
-          && !cancelled(spec)
-          && world.wanted(spec)) {
-        work.merge(job.shard, machines(spec, type, job.wanted()), Double::sum);
+          && (!machineClass.lendable() || cluster.policy.spot(spec))
+          && !isCancelled(spec)
+          && cluster.needsMachines(spec)) {
+        work.merge(job.shard, machinesFor(spec, type, job.wanted()), Double::sum);
       }
     }
     return work;
   }
 
   /** What the open work of a team takes, by shard. */
-  Map<String, Room> byShardOf(String team) {
+  Map<String, Room> resourcesByShard(String team) {
     Map<String, Room> work = new HashMap<>();
-    for (JobIndex.Job job : world.index.all().values()) {
-      if (job.spec.owner().equals(team) && !cancelled(job.spec)) {
+    for (JobIndex.Job job : cluster.jobIndex.all().values()) {
+      if (job.spec.owner().equals(team) && !isCancelled(job.spec)) {
         work.merge(job.shard, job.spec.room().times(job.wanted()), Room::plus);
       }
     }
--- a/src/main/java/dunlincroft/coordination/DirectCommands.java
+++ b/src/main/java/dunlincroft/coordination/DirectCommands.java
@@ -15,13 +15,13 @@
 final class DirectCommands {
   private static final Logger LOG = LoggerFactory.getLogger(DirectCommands.class);
 
-  private final World world;
+  private final ClusterState world;
   private final WorkerOrders workerOrders;
   private final AnswerHandler answers;
   private final MachineProbe probe;
 
   DirectCommands(
-      World world, WorkerOrders workerOrders, AnswerHandler answers, MachineProbe probe) {
+      ClusterState world, WorkerOrders workerOrders, AnswerHandler answers, MachineProbe probe) {
     this.world = world;
     this.workerOrders = workerOrders;
     this.answers = answers;
@@ -40,7 +40,7 @@
         || machine.endpoint == null) {
       return;
     }
-    long fence = world.fence(machine);
+    long fence = world.fenceToken(machine);
     List<Order> orders = workerOrders.forMachine(machine, fence, true);
     if (orders.stream().allMatch(DirectCommands::canWait) && machine.session.fenceSeen() >= fence) {
       return;
@@ -84,7 +84,7 @@
     if (reply.status() == 200 || again) {
       boolean more =
           again
-              || !workerOrders.forMachine(machine, world.fence(machine), true).stream()
+              || !workerOrders.forMachine(machine, world.fenceToken(machine), true).stream()
                   .allMatch(DirectCommands::canWait);
       if (more) {
         world.env.after(Constants.PLACE_MS, () -> pushIfKnown(machine));
--- a/src/main/java/dunlincroft/coordination/FaultAttribution.java
+++ b/src/main/java/dunlincroft/coordination/FaultAttribution.java
@@ -8,10 +8,10 @@
 final class FaultAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
-  private final World world;
+  private final ClusterState world;
   private final Ledger ledger;
 
-  FaultAttribution(World world, Ledger ledger) {
+  FaultAttribution(ClusterState world, Ledger ledger) {
     this.world = world;
     this.ledger = ledger;
   }
--- a/src/main/java/dunlincroft/coordination/FenceRaiser.java
+++ b/src/main/java/dunlincroft/coordination/FenceRaiser.java
@@ -12,9 +12,9 @@
 final class FenceRaiser {
   private static final Logger LOG = LoggerFactory.getLogger(FenceRaiser.class);
 
-  private final World world;
+  private final ClusterState world;
 
-  FenceRaiser(World world) {
+  FenceRaiser(ClusterState world) {
     this.world = world;
   }
 
@@ -27,7 +27,8 @@
     machine.raising = true;
     Txn txn =
         new Txn()
-            .guard(Wire.key(Replica.SHARDS, machine.shard), world.held.getLong(machine.shard))
+            .guard(
+                Wire.key(Replica.SHARDS, machine.shard), world.ownedShards.getLong(machine.shard))
             .guard(Wire.key(Replica.BLOCKS, block.name()), block.stamp())
             .put(Wire.key(Replica.BLOCKS, block.name()), block.record().toNode());
     world.store.commit(
@@ -45,7 +46,7 @@
    */
   void outbid(String host, long fence) {
     Machine machine = world.machines.get(host);
-    if (machine != null && world.holds(machine.shard) && world.fence(machine) < fence) {
+    if (machine != null && world.owns(machine.shard) && world.fenceToken(machine) < fence) {
       raise(machine);
     }
   }
--- a/src/main/java/dunlincroft/coordination/Figures.java
+++ b/src/main/java/dunlincroft/coordination/Figures.java
@@ -66,11 +66,11 @@
         .recordValue(Math.min(wait, MOST_MS));
     LOG.debug(
         "{} try {} runs on host {}, {} ms after its job was accepted, {} ms after it was placed",
-        p.piece(),
+        p.taskName(),
         p.attempt,
         p.machine.host,
         wait,
-        nowMs - p.sinceMs);
+        nowMs - p.placedAtMs);
   }
 
   /** Logs the figures since the last call and begins anew. */
--- a/src/main/java/dunlincroft/coordination/Handover.java
+++ b/src/main/java/dunlincroft/coordination/Handover.java
@@ -7,12 +7,12 @@
 
 /** What owners of shards give to each other while several shards have machines, or had them. */
 final class Handover {
-  private final World world;
+  private final ClusterState world;
   private final Membership members;
   private final MachineHandover machines;
   private final ShareHandover shares;
 
-  Handover(World world, Membership members, Demand demand) {
+  Handover(ClusterState world, Membership members, Demand demand) {
     this.world = world;
     this.members = members;
     HandoverWriter writer = new HandoverWriter(world);
@@ -31,7 +31,7 @@
     if (shards.size() < 2) {
       return;
     }
-    RecordedRoom room = new RecordedRoom(world);
+    RecordedCapacity room = new RecordedCapacity(world);
     machines.tick(room);
     shares.tick(shards.size(), room);
   }
--- a/src/main/java/dunlincroft/coordination/HandoverWriter.java
+++ b/src/main/java/dunlincroft/coordination/HandoverWriter.java
@@ -14,9 +14,9 @@
 final class HandoverWriter {
   private static final Logger LOG = LoggerFactory.getLogger(HandoverWriter.class);
 
-  private final World world;
+  private final ClusterState world;
 
-  HandoverWriter(World world) {
+  HandoverWriter(ClusterState world) {
     this.world = world;
   }
 
@@ -38,7 +38,7 @@
           switch (result.outcome()) {
             case OK -> {
               LOG.info("handed over: {}", what);
-              world.figures.count(Figures.Event.HANDOVER);
+              world.metrics.count(Figures.Event.HANDOVER);
               then.run();
             }
             case CONFLICT -> awaitReplica(what, then);
--- a/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
@@ -12,13 +12,13 @@
 final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
-  private final World world;
+  private final ClusterState world;
   private final ReportHandler reports;
   private final WorkerOrders workerOrders;
   private final MachineProbe probe;
 
   HeartbeatHandler(
-      World world, ReportHandler reports, WorkerOrders workerOrders, MachineProbe probe) {
+      ClusterState world, ReportHandler reports, WorkerOrders workerOrders, MachineProbe probe) {
     this.world = world;
     this.reports = reports;
     this.workerOrders = workerOrders;
@@ -27,7 +27,7 @@
 
   /** Answers a heartbeat of a machine whose shard we hold; null: another fence is ahead of ours. */
   ObjectNode answer(Machine machine, WorkerReport report) {
-    long fence = world.fence(machine);
+    long fence = world.fenceToken(machine);
     if (report.fence() > fence) {
       LOG.info(
           "host {} has seen fence {} above ours of {}: another node acts for it",
@@ -72,6 +72,6 @@
 
   /** A start that left in an answer and is not in the report after it. */
   private static boolean notShown(Placement p) {
-    return p.recorded && p.sent && !p.stop && !p.shown;
+    return p.recorded && p.orderSent && !p.stopRequested && !p.inLastReport;
   }
 }
--- a/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
@@ -18,7 +18,7 @@
   private static final int MISDIRECTED = 421;
   private static final byte[] EMPTY = new byte[0];
 
-  private final World world;
+  private final ClusterState world;
   private final Membership members;
   private final HeartbeatHandler handler;
   private final FenceRaiser fences;
@@ -31,7 +31,7 @@
   private final List<Waiting> waiting = new ArrayList<>();
 
   HeartbeatRouter(
-      World world,
+      ClusterState world,
       Membership members,
       WorkerProtocol workers,
       MachineDiscovery discovery,
@@ -61,9 +61,9 @@
     }
     String shard = block.record().shard();
     Machine machine = world.machines.get(report.host());
-    if (world.holds(shard) && machine != null) {
+    if (world.owns(shard) && machine != null) {
       // A cancellation that some user was told and we do not know of could outlast its time.
-      if (members.cancellationLagMs() > world.cutMs()) {
+      if (members.cancellationLagMs() > world.maxCancellationLagMs()) {
         unavailable(UnavailableCause.UNSURE_OF_CANCELS, out);
         return;
       }
@@ -78,7 +78,7 @@
       out.send(200, Cbor.bytes(standIn.answer(report)), 0);
       return;
     }
-    if (world.holds(shard) && machine != null) {
+    if (world.owns(shard) && machine != null) {
       out.send(MISDIRECTED, Cbor.bytes(Cbor.map()), 0);
       return;
     }
@@ -111,7 +111,7 @@
   }
 
   private void unavailable(UnavailableCause cause, Responder out) {
-    world.figures.turnedAway(Figures.Asker.WORKER, cause);
+    world.metrics.turnedAway(Figures.Asker.WORKER, cause);
     out.send(503, EMPTY, 0);
   }
 
--- a/src/main/java/dunlincroft/coordination/JobDesk.java
+++ b/src/main/java/dunlincroft/coordination/JobDesk.java
@@ -65,11 +65,11 @@
     }
   }
 
-  private final World world;
+  private final ClusterState world;
   private final Membership members;
   private final Admission admission;
 
-  JobDesk(World world, Membership members) {
+  JobDesk(ClusterState world, Membership members) {
     this.world = world;
     this.members = members;
     admission = new Admission(world.settings.node(), world.settings::weight);
@@ -92,7 +92,7 @@
   private Consumer<Outcome> counted(Figures.Asker asker, Consumer<Outcome> then) {
     return outcome -> {
       if (outcome.verdict == Verdict.UNAVAILABLE) {
-        world.figures.turnedAway(asker, outcome.cause);
+        world.metrics.turnedAway(asker, outcome.cause);
       }
       then.accept(outcome);
     };
@@ -113,7 +113,7 @@
       then.accept(Outcome.unavailable(ref, unready));
       return;
     }
-    if (world.index.get(ref) != null) {
+    if (world.jobIndex.get(ref) != null) {
       state(ref, then);
       return;
     }
@@ -192,7 +192,7 @@
     if (!spec.room().times(spec.daemon() ? spec.pieces() : 1).fits(team.limit())) {
       return Verdict.IMPOSSIBLE;
     }
-    if (world.types.isEmpty()) {
+    if (world.machineTypes.isEmpty()) {
       return Verdict.UNAVAILABLE;
     }
     return world.allowedTypes(spec).isEmpty() ? Verdict.IMPOSSIBLE : Verdict.CREATED;
@@ -275,7 +275,7 @@
             return;
           }
           Outcome last = ended(ref);
-          JobIndex.Job job = world.index.get(ref);
+          JobIndex.Job job = world.jobIndex.get(ref);
           Item cancel = world.replica.get(Replica.CANCELS, ref);
           if (last != null) {
             then.accept(last);
--- a/src/main/java/dunlincroft/coordination/JobRun.java
+++ b/src/main/java/dunlincroft/coordination/JobRun.java
@@ -67,7 +67,7 @@
   long overdueSince = Long.MAX_VALUE;
 
   /** What it wants of a machine, for the memory of what found no room in a round. */
-  Scheduler.Wish wish;
+  Scheduler.PlacementRequest wish;
 
   /** Its shard and team, as one text: whose part of the limit it counts against. */
   final String limitKey;
@@ -276,7 +276,7 @@
 
   /** Marks a placement as one that is to go. */
   void halt(Placement p) {
-    p.stop = true;
+    p.stopRequested = true;
     halting = true;
   }
 
--- a/src/main/java/dunlincroft/coordination/Ledger.java
+++ b/src/main/java/dunlincroft/coordination/Ledger.java
@@ -32,13 +32,13 @@
 final class Ledger {
   private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
 
-  private final World world;
-  private final Terms terms;
+  private final ClusterState world;
+  private final StartConditions terms;
   private final Set<JobRun> dirty = new LinkedHashSet<>();
   private final Map<String, ShardLog> logs = new HashMap<>();
   private Consumer<Collection<Machine>> onRecorded = machines -> {};
 
-  Ledger(World world, Terms terms) {
+  Ledger(ClusterState world, StartConditions terms) {
     this.world = world;
     this.terms = terms;
   }
@@ -79,11 +79,11 @@
   /** Drops what is no longer ours to write. */
   void forget() {
     dirty.removeIf(job -> !ours(job));
-    logs.values().removeIf(log -> world.held.getLong(log.shard) != log.heldSince);
+    logs.values().removeIf(log -> world.ownedShards.getLong(log.shard) != log.heldSince);
   }
 
   private boolean current(ShardLog log) {
-    return logs.get(log.shard) == log && world.held.getLong(log.shard) == log.heldSince;
+    return logs.get(log.shard) == log && world.ownedShards.getLong(log.shard) == log.heldSince;
   }
 
   /** Writes what is due: ends of jobs, placements, and completions that have waited long enough. */
@@ -97,9 +97,9 @@
     }
     dirty.removeIf(job -> job.record.dirtySince < 0 || !ours(job));
     int backlog = 0;
-    for (String shard : List.copyOf(world.held.keySet())) {
+    for (String shard : List.copyOf(world.ownedShards.keySet())) {
       ShardLog log = logs.computeIfAbsent(shard, s -> new ShardLog(world, s));
-      if (log.heldSince != world.held.getLong(shard)) {
+      if (log.heldSince != world.ownedShards.getLong(shard)) {
         log = new ShardLog(world, shard);
         logs.put(shard, log);
       }
@@ -196,7 +196,7 @@
         }
       }
       if (all.starts()) {
-        if (!terms.current(job)) {
+        if (!terms.guardsHold(job)) {
           continue; // Its starts are taken back, now that their guards have changed.
         }
         if (cancels.size() + conditions.size() + job.guards.size() >= guards) {
@@ -253,7 +253,7 @@
         each.job().record.settle(number).forEach(p -> touched.add(p.machine));
       }
     }
-    world.placeDue = true;
+    world.placementDue = true;
     onRecorded.accept(touched);
   }
 
@@ -370,7 +370,7 @@
       }
     }
     LOG.info("write refused by its guards {}: reading what changed", failed);
-    world.feed.barrier(ok -> world.placeDue = true);
+    world.feed.barrier(ok -> world.placementDue = true);
   }
 
   /** Unwanted placements that no order ever left for are taken back without asking the worker. */
@@ -380,7 +380,7 @@
     }
     job.halting = false;
     for (Placement p : List.copyOf(job.placed.values())) {
-      if (p.stop && !p.sent) {
+      if (p.stopRequested && !p.orderSent) {
         if (job.record.updateInFlight()) {
           job.halting = true;
         } else {
@@ -436,7 +436,7 @@
     String cancelKey = Wire.key(Replica.CANCELS, job.id);
     Txn txn =
         new Txn()
-            .guard(Wire.key(Replica.SHARDS, job.shard), world.held.getLong(job.shard))
+            .guard(Wire.key(Replica.SHARDS, job.shard), world.ownedShards.getLong(job.shard))
             .guard(jobKey, world.replica.stamp(Replica.JOBS, job.id))
             .guard(cancelKey, world.replica.stamp(Replica.CANCELS, job.id))
             .put(jobKey, end);
@@ -464,7 +464,7 @@
           kept.forEach(this::reread);
           world.feed.barrier(
               ok -> {
-                world.cancelled(job.id);
+                world.onCancellation(job.id);
                 job.finishing = false;
               });
         });
--- a/src/main/java/dunlincroft/coordination/Machine.java
+++ b/src/main/java/dunlincroft/coordination/Machine.java
@@ -116,7 +116,7 @@
   }
 
   void add(Placement p) {
-    placed.put(p.piece(), p);
+    placed.put(p.taskName(), p);
     booked = booked.plus(p.job.spec.room());
     if (p.job.spec.daemon()) {
       daemons++;
@@ -129,7 +129,7 @@
   }
 
   void remove(Placement p) {
-    if (placed.remove(p.piece(), p)) {
+    if (placed.remove(p.taskName(), p)) {
       booked = booked.minus(p.job.spec.room());
       if (p.job.spec.daemon()) {
         daemons--;
--- a/src/main/java/dunlincroft/coordination/MachineDiscovery.java
+++ b/src/main/java/dunlincroft/coordination/MachineDiscovery.java
@@ -38,7 +38,7 @@
 
   private static final String MADE = "blocks";
 
-  private final World world;
+  private final ClusterState world;
   private final Membership members;
   private final Demand demand;
   private final Map<String, Newcomer> newcomers = new LinkedHashMap<>();
@@ -61,7 +61,7 @@
   private boolean recording;
   private long ledSince;
 
-  MachineDiscovery(World world, Membership members, Demand demand) {
+  MachineDiscovery(ClusterState world, Membership members, Demand demand) {
     this.world = world;
     this.members = members;
     this.demand = demand;
@@ -173,7 +173,7 @@
     if (newcomers.isEmpty() || holders.isEmpty()) {
       return;
     }
-    Map<BlockClass, Map<String, Integer>> blocks = demand.blocks();
+    Map<BlockClass, Map<String, Integer>> blocks = demand.machinesByClass();
     Map<BlockClass, Map<String, Double>> work = new HashMap<>();
     Map<String, Map<String, Long>> hosts = new LinkedHashMap<>();
     Map<String, Newcomer> first = new HashMap<>();
@@ -183,7 +183,8 @@
           Map<String, Integer> has = blocks.computeIfAbsent(blockClass, c -> new HashMap<>());
           String shard = newcomer.shard;
           if (shard == null) {
-            shard = neediest(holders, work.computeIfAbsent(blockClass, demand::byShard), has);
+            shard =
+                neediest(holders, work.computeIfAbsent(blockClass, demand::machinesByShard), has);
           }
           has.merge(shard, 1, Integer::sum);
           String group = shard + " " + blockClass;
--- a/src/main/java/dunlincroft/coordination/MachineHandover.java
+++ b/src/main/java/dunlincroft/coordination/MachineHandover.java
@@ -28,7 +28,7 @@
 final class MachineHandover {
   private static final Logger LOG = LoggerFactory.getLogger(MachineHandover.class);
 
-  private final World world;
+  private final ClusterState world;
   private final Membership members;
   private final Demand demand;
   private final HandoverWriter writer;
@@ -37,7 +37,7 @@
   /** Since when waiting jobs have found no room in their shards. */
   private final Map<String, Long> stuckSince = new HashMap<>();
 
-  MachineHandover(World world, Membership members, Demand demand, HandoverWriter writer) {
+  MachineHandover(ClusterState world, Membership members, Demand demand, HandoverWriter writer) {
     this.world = world;
     this.members = members;
     this.demand = demand;
@@ -45,7 +45,7 @@
   }
 
   /** Plans at each renewal of the leases, and moves what is empty by now. */
-  void tick(RecordedRoom room) {
+  void tick(RecordedCapacity room) {
     if (members.leaseStamp() != plannedFor) {
       plannedFor = members.leaseStamp();
       plan();
@@ -68,17 +68,17 @@
   /** Chooses the blocks to hand over until the next renewal, class by class. */
   private void plan() {
     world.machines.values().stream().filter(m -> !m.moving).forEach(m -> m.moveTo = null);
-    Set<String> needed = neededHere(new RecordedRoom(world));
+    Set<String> needed = neededHere(new RecordedCapacity(world));
     demand
-        .blocks()
+        .machinesByClass()
         .forEach(
             (blockClass, blocks) -> {
-              Map<String, Double> work = demand.byShard(blockClass);
+              Map<String, Double> work = demand.machinesByShard(blockClass);
               double all = work.values().stream().mapToDouble(d -> d).sum();
               int total = blocks.values().stream().mapToInt(n -> n).sum();
               if (all > 0) {
                 work.replaceAll((shard, machines) -> machines / all * total);
-                List.copyOf(world.held.keySet())
+                List.copyOf(world.ownedShards.keySet())
                     .forEach(shard -> plan(blockClass, shard, blocks, work, needed));
               }
             });
@@ -94,7 +94,7 @@
     for (Machine machine : world.machines.values()) {
       if (machine.shard.equals(from)
           && machine.blockClass().equals(blockClass)
-          && world.usable(machine)
+          && world.isUsable(machine)
           && !needed.contains(machine.host)
           && !machine.hasDaemon()) {
         mine.add(machine);
@@ -122,11 +122,11 @@
    * Machines that waiting jobs of our own shards are about to use. A machine may be the only one in
    * its job's zone while the numbers by class say that another shard lacks it more.
    */
-  private Set<String> neededHere(RecordedRoom room) {
+  private Set<String> neededHere(RecordedCapacity room) {
     Set<String> needed = new HashSet<>();
     for (JobIndex.Job job : waiting()) {
-      if (world.holds(job.shard) && hasPart(job)) {
-        room.of(job.shard).stream()
+      if (world.owns(job.shard) && hasPart(job)) {
+        room.hostsOf(job.shard).stream()
             .filter(host -> room.fits(job, host))
             .forEach(host -> needed.add(host.name));
       }
@@ -136,9 +136,9 @@
 
   /** Jobs with tasks that wait, the first {@code CLAIMS_LOOKED_AT} in the order of service. */
   private List<JobIndex.Job> waiting() {
-    return world.index.all().values().stream()
+    return world.jobIndex.all().values().stream()
         .filter(job -> job.wanted() > job.placed())
-        .filter(job -> !demand.cancelled(job.spec) && world.wanted(job.spec))
+        .filter(job -> !demand.isCancelled(job.spec) && world.needsMachines(job.spec))
         .sorted(ShareHandover.ORDER)
         .limit(Constants.CLAIMS_LOOKED_AT)
         .toList();
@@ -147,7 +147,7 @@
   /** Whether the part of its team's limit that a job's shard has leaves room for one task. */
   private boolean hasPart(JobIndex.Job job) {
     String team = job.spec.owner();
-    Room unused = world.share(team, job.shard).minus(world.used(team, job.shard));
+    Room unused = world.usableShare(team, job.shard).minus(world.teamUsage(team, job.shard));
     return job.spec.room().fits(unused);
   }
 
@@ -157,10 +157,10 @@
    * A job that no machine of its shard has room for, while one of another shard has, gets that
    * machine once it is empty. All owners find the same machine by the records, and its owner acts.
    */
-  private void helpWaiting(RecordedRoom room) {
+  private void helpWaiting(RecordedCapacity room) {
     Set<String> stuck = new HashSet<>();
     for (JobIndex.Job job : waiting()) {
-      if (room.countFor(job, job.shard, 1) == 0) {
+      if (room.countFitting(job, job.shard, 1) == 0) {
         stuck.add(job.spec.ref());
         if (isPatient(job)) {
           help(job, room);
@@ -176,7 +176,7 @@
     return world.now() - since >= Constants.CLAIM_PATIENCE_MS;
   }
 
-  private void help(JobIndex.Job job, RecordedRoom room) {
+  private void help(JobIndex.Job job, RecordedCapacity room) {
     boolean helped =
         world.machines.values().stream().anyMatch(machine -> job.shard.equals(machine.moveTo));
     if (helped) {
@@ -184,10 +184,10 @@
     }
     room.shards().stream()
         .filter(shard -> !shard.equals(job.shard))
-        .flatMap(shard -> room.of(shard).stream())
-        .filter(host -> !host.services && room.fits(job, host))
+        .flatMap(shard -> room.hostsOf(shard).stream())
+        .filter(host -> !host.hasServices && room.fits(job, host))
         .min(
-            Comparator.comparingLong((RecordedRoom.Host host) -> -host.free.cpu())
+            Comparator.comparingLong((RecordedCapacity.Host host) -> -host.free.cpu())
                 .thenComparing(host -> host.name))
         .map(host -> world.machines.get(host.name))
         .filter(machine -> machine.moveTo == null && !machine.moving)
@@ -227,14 +227,14 @@
     String from = block.record().shard();
     String to = moves.getKey();
     List<Machine> machines = moves.getValue();
-    if (!world.holds(from) || (world.settings.txnOps() < 2 && machines.size() < block.size())) {
+    if (!world.owns(from) || (world.settings.txnOps() < 2 && machines.size() < block.size())) {
       return;
     }
     List<String> hosts = machines.stream().map(machine -> machine.host).toList();
     String key = Wire.key(Replica.BLOCKS, block.name());
     Txn txn =
         new Txn()
-            .guard(Wire.key(Replica.SHARDS, from), world.held.getLong(from))
+            .guard(Wire.key(Replica.SHARDS, from), world.ownedShards.getLong(from))
             .guard(key, block.stamp());
     if (hosts.size() == block.size()) {
       txn.put(key, block.record().part(hosts, to).toNode());
@@ -252,7 +252,7 @@
             machine.moving = false;
             machine.moveTo = null;
           }
-          world.placeDue = true;
+          world.placementDue = true;
         });
   }
 }
--- a/src/main/java/dunlincroft/coordination/MachineList.java
+++ b/src/main/java/dunlincroft/coordination/MachineList.java
@@ -23,7 +23,7 @@
 final class MachineList {
   private static final Logger LOG = LoggerFactory.getLogger(MachineList.class);
 
-  private final World world;
+  private final ClusterState world;
   private final Membership members;
   private final MachineProbe probe;
   private final Cloud cloud;
@@ -35,7 +35,7 @@
   private boolean again;
 
   MachineList(
-      World world,
+      ClusterState world,
       Membership members,
       MachineProbe probe,
       Cloud cloud,
--- a/src/main/java/dunlincroft/coordination/MachineProbe.java
+++ b/src/main/java/dunlincroft/coordination/MachineProbe.java
@@ -8,11 +8,11 @@
 final class MachineProbe {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProbe.class);
 
-  private final World world;
+  private final ClusterState world;
   private final AnswerHandler answers;
   private Consumer<Machine> onAnswer = machine -> {};
 
-  MachineProbe(World world, AnswerHandler answers) {
+  MachineProbe(ClusterState world, AnswerHandler answers) {
     this.world = world;
     this.answers = answers;
   }
@@ -31,7 +31,7 @@
   private void unanswered(Machine machine) {
     if (machine.session.onNoAnswer(world.now())) {
       LOG.info("host {} is deaf: its reports come, and our answers do not arrive", machine.host);
-      world.figures.count(Figures.Event.DEAF);
+      world.metrics.count(Figures.Event.DEAF);
     }
   }
 
--- a/src/main/java/dunlincroft/coordination/MachineReleaser.java
+++ b/src/main/java/dunlincroft/coordination/MachineReleaser.java
@@ -25,25 +25,25 @@
 final class MachineReleaser {
   private static final Logger LOG = LoggerFactory.getLogger(MachineReleaser.class);
 
-  private final World world;
+  private final ClusterState world;
   private final ReportHandler reports;
   private final MachineProbe probe;
   private final Cloud cloud;
   private final MachineDiscovery discovery;
   private final Consolidation consolidation;
-  private final ZoneWatch zones;
+  private final ZoneOutageDetector zones;
   private final Set<String> recording = new HashSet<>();
   private boolean releasing;
   private final long suspectMs;
 
   MachineReleaser(
-      World world,
+      ClusterState world,
       ReportHandler reports,
       MachineProbe probe,
       Cloud cloud,
       MachineDiscovery discovery,
       Consolidation consolidation,
-      ZoneWatch zones) {
+      ZoneOutageDetector zones) {
     this.world = world;
     this.reports = reports;
     this.probe = probe;
@@ -51,7 +51,7 @@
     this.discovery = discovery;
     this.consolidation = consolidation;
     this.zones = zones;
-    this.suspectMs = world.reports(Constants.SUSPECT_REPORTS);
+    this.suspectMs = world.reportIntervalsMs(Constants.SUSPECT_REPORTS);
   }
 
   void tick() {
@@ -63,7 +63,7 @@
       if (why != null && machine.lifecycle == MachineLifecycle.IN_USE && room) {
         LOG.info(
             "host {} is released: {}; {} tasks on it", machine.host, why, machine.placed.size());
-        world.figures.count(Figures.Event.RELEASE);
+        world.metrics.count(Figures.Event.RELEASE);
         release.add(machine);
       }
     }
@@ -88,13 +88,13 @@
     }
     if (silent > suspectMs) {
       if (machine.session.onSilence()) {
-        world.figures.count(Figures.Event.SUSPECT);
+        world.metrics.count(Figures.Event.SUSPECT);
         LOG.info("host {} is suspected: silent for {} ms, asked directly", machine.host, silent);
       }
       probe.probe(machine);
     }
     if (machine.session.hasReported() || !machine.placed.isEmpty()) {
-      return silent > zones.deadMs(machine) && zones.anyHeard()
+      return silent > zones.releaseAfterMs(machine) && zones.isAnyMachineReachable()
           ? (machine.session.deaf() ? "deaf, without an answer for " : "silent for ")
               + silent
               + " ms"
@@ -147,7 +147,7 @@
     }
     machine.lifecycle = machine.lifecycle.onReleaseConfirmed();
     if (machine.blockStamp == 0 || world.blocks.of(machine.host) == null) {
-      world.forget(machine);
+      world.onMachineReleased(machine);
     }
   }
 
@@ -170,7 +170,7 @@
           BlockRecord left = block.record().without(hosts);
           Txn txn =
               new Txn()
-                  .guard(Wire.key(Replica.SHARDS, shard), world.held.getLong(shard))
+                  .guard(Wire.key(Replica.SHARDS, shard), world.ownedShards.getLong(shard))
                   .guard(key, block.stamp());
           if (left.hosts().isEmpty()) {
             txn.remove(key);
--- a/src/main/java/dunlincroft/coordination/PeriodicTasks.java
+++ b/src/main/java/dunlincroft/coordination/PeriodicTasks.java
@@ -17,13 +17,13 @@
   private static final class Task {
     private final String name;
     private final long periodMs;
-    private final LongConsumer body;
+    private final LongConsumer action;
     private long nextRunMs;
 
-    private Task(String name, long periodMs, LongConsumer body, long nextRunMs) {
+    private Task(String name, long periodMs, LongConsumer action, long nextRunMs) {
       this.name = name;
       this.periodMs = periodMs;
-      this.body = body;
+      this.action = action;
       this.nextRunMs = nextRunMs;
     }
 
@@ -31,7 +31,7 @@
       if (nowMs >= nextRunMs) {
         nextRunMs = nowMs + periodMs;
         LOG.trace("periodic task: {}", name);
-        body.accept(nowMs);
+        action.accept(nowMs);
       }
     }
   }
@@ -39,22 +39,22 @@
   private final List<Task> tasks = new ArrayList<>();
 
   /** Adds a task that runs at every tick. */
-  void everyTick(String name, LongConsumer body) {
-    add(name, 0, 0, body);
+  void everyTick(String name, LongConsumer action) {
+    add(name, 0, 0, action);
   }
 
   /** Adds a task that runs at the first tick, and then once in each period. */
-  void every(long periodMs, String name, LongConsumer body) {
-    add(name, periodMs, 0, body);
+  void every(long periodMs, String name, LongConsumer action) {
+    add(name, periodMs, 0, action);
   }
 
   /** Adds a task that runs once in each period, for the first time at the given moment. */
-  void everyFrom(long firstRunMs, long periodMs, String name, LongConsumer body) {
-    add(name, periodMs, firstRunMs, body);
+  void everyFrom(long firstRunMs, long periodMs, String name, LongConsumer action) {
+    add(name, periodMs, firstRunMs, action);
   }
 
-  private void add(String name, long periodMs, long firstRunMs, LongConsumer body) {
-    tasks.add(new Task(name, periodMs, body, firstRunMs));
+  private void add(String name, long periodMs, long firstRunMs, LongConsumer action) {
+    tasks.add(new Task(name, periodMs, action, firstRunMs));
   }
 
   /** Runs the tasks that are due; each gets the moment of this tick. */
--- a/src/main/java/dunlincroft/coordination/Placement.java
+++ b/src/main/java/dunlincroft/coordination/Placement.java
@@ -10,44 +10,44 @@
   final int task;
   final Machine machine;
   final long attempt;
-  final long sinceMs;
-  private final String piece;
+  final long placedAtMs;
+  private final String taskName;
 
   /** The state service holds this placement: only then may an order leave. */
   boolean recorded;
 
   /** An order to run it may have left, from this holder or one before it. */
-  boolean sent;
+  boolean orderSent;
 
   /** It is to go: cancelled, preempted or drained. Set by JobRun.halt(). */
-  boolean stop;
+  boolean stopRequested;
 
   /** The worker's newest report has it. */
-  boolean shown;
+  boolean inLastReport;
 
   /** When the worker was first seen to run it. */
-  long runsSince;
+  long runningSinceMs;
 
   /** What stopping it costs the job that looks for room now; for the sort of that look alone. */
-  long cost;
+  long preemptionCost;
 
   /** Last status the worker reported; null while it reported none. */
-  String status;
+  String reportedStatus;
 
-  Placement(JobRun job, int task, Machine machine, long attempt, long sinceMs) {
+  Placement(JobRun job, int task, Machine machine, long attempt, long placedAtMs) {
     this.job = job;
     this.task = task;
     this.machine = machine;
     this.attempt = attempt;
-    this.sinceMs = sinceMs;
-    this.piece = Wire.piece(job.id, task);
+    this.placedAtMs = placedAtMs;
+    this.taskName = Wire.piece(job.id, task);
   }
 
-  String piece() {
-    return piece;
+  String taskName() {
+    return taskName;
   }
 
-  double windDownS() {
+  double stopGraceS() {
     return job.spec.snapshotS() > 0 && job.stopMode() == JobRun.StopMode.SAVE_FIRST
         ? job.spec.flushS()
         : 0;
--- /dev/null
+++ b/src/main/java/dunlincroft/coordination/RecordedCapacity.java
@@ -0,0 +1,144 @@
+package dunlincroft.coordination;
+
+import dunlincroft.bookkeeping.BlockIndex;
+import dunlincroft.bookkeeping.JobIndex;
+import dunlincroft.protocol.BlockClass;
+import dunlincroft.protocol.JobSpec;
+import dunlincroft.protocol.JobSpec.Rank;
+import dunlincroft.protocol.MachineType;
+import dunlincroft.protocol.Room;
+import dunlincroft.protocol.TaskState.Place;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * What the machines of all shards have free by the records, as every owner of a shard reads them
+ * alike. Machines that this node owns count only while they can take work.
+ */
+final class RecordedCapacity {
+  /** A machine and what recorded tasks leave free of it. */
+  static final class Host {
+    final String name;
+    final String shard;
+    final BlockClass blockClass;
+    Room free;
+    boolean hasServices;
+
+    private Host(String name, String shard, BlockClass blockClass, Room free) {
+      this.name = name;
+      this.shard = shard;
+      this.blockClass = blockClass;
+      this.free = free;
+    }
+  }
+
+  private final ClusterState cluster;
+  private final Map<String, List<Host>> hostsByShard = new HashMap<>();
+
+  RecordedCapacity(ClusterState cluster) {
+    this.cluster = cluster;
+    Map<String, Host> hosts = loadHosts();
+    for (JobIndex.Job job : cluster.jobIndex.all().values()) {
+      for (Place place : job.places()) {
+        Host host = hosts.get(place.host());
+        if (host != null) {
+          host.free = host.free.minus(job.spec.room());
+          host.hasServices |= job.spec.daemon();
+        }
+      }
+    }
+  }
+
+  private Map<String, Host> loadHosts() {
+    Map<String, Host> hosts = new HashMap<>();
+    for (BlockIndex.Block block : cluster.blocks.all()) {
+      BlockClass blockClass = block.record().blockClass();
+      MachineType type = cluster.machineTypes.get(blockClass.flavour());
+      if (type == null) {
+        continue;
+      }
+      double bound = cluster.policy.bound(type, blockClass.hall(), blockClass.lendable());
+      Room capacity = type.room().minus(new Room((long) (type.room().cpu() * (1 - bound)), 0, 0));
+      for (String name : block.record().hosts().keySet()) {
+        Machine known = cluster.machines.get(name);
+        if (known == null || cluster.isUsable(known)) {
+          Host host = new Host(name, block.record().shard(), blockClass, capacity);
+          hosts.put(name, host);
+          hostsByShard.computeIfAbsent(host.shard, shard -> new ArrayList<>()).add(host);
+        }
+      }
+    }
+    return hosts;
+  }
+
+  /** The machines of a shard. */
+  List<Host> hostsOf(String shard) {
+    return hostsByShard.getOrDefault(shard, List.of());
+  }
+
+  /** Shards that have machines. */
+  Set<String> shards() {
+    return hostsByShard.keySet();
+  }
+
+  /** How many more tasks of a job the machines of a shard have room for, at most so many. */
+  int countFitting(JobIndex.Job job, String shard, int maxTasks) {
+    Map<String, Integer> tasksPerZone = tasksPerZone(job);
+    int count = 0;
+    for (Host host : hostsOf(shard)) {
+      if (count >= maxTasks) {
+        return maxTasks;
+      }
+      if (isSuitable(job.spec, host, tasksPerZone)) {
+        String zone = host.blockClass.hall();
+        int zoneLimit = job.spec.zoneMost() - tasksPerZone.getOrDefault(zone, 0);
+        int fitting =
+            job.spec.room().countIn(freeCapacity(job.spec, host), Math.min(maxTasks, zoneLimit));
+        tasksPerZone.merge(zone, fitting, Integer::sum);
+        count += fitting;
+      }
+    }
+    return Math.min(count, maxTasks);
+  }
+
+  /** Whether one more task of a job may go to a machine and has room there. */
+  boolean fits(JobIndex.Job job, Host host) {
+    return isSuitable(job.spec, host, tasksPerZone(job))
+        && job.spec.room().fits(freeCapacity(job.spec, host));
+  }
+
+  private Map<String, Integer> tasksPerZone(JobIndex.Job job) {
+    Map<String, Integer> tasksPerZone = new HashMap<>();
+    for (Place place : job.places()) {
+      BlockIndex.Block block = cluster.blocks.of(place.host());
+      if (block != null) {
+        tasksPerZone.merge(block.record().blockClass().hall(), 1, Integer::sum);
+      }
+    }
+    return tasksPerZone;
+  }
+
+  private boolean isSuitable(JobSpec spec, Host host, Map<String, Integer> tasksPerZone) {
+    String zone = host.blockClass.hall();
+    boolean otherZone =
+        spec.samePlace() && !tasksPerZone.isEmpty() && !tasksPerZone.containsKey(zone);
+    return !otherZone
+        && tasksPerZone.getOrDefault(zone, 0) < spec.zoneMost()
+        && spec.allows(host.blockClass.flavour(), zone, host.blockClass.lendable())
+        && (!host.blockClass.lendable() || cluster.allowsSpot(spec));
+  }
+
+  /** What is free for a job: the operators' reserve on machines with services is for services. */
+  private Room freeCapacity(JobSpec spec, Host host) {
+    if (!host.hasServices || spec.rank() == Rank.PROD) {
+      return host.free;
+    }
+    MachineType type = cluster.machineTypes.get(host.blockClass.flavour());
+    double reserve =
+        cluster.policy.reserve(type, host.blockClass.hall(), host.blockClass.lendable());
+    return host.free.minus(new Room((long) (type.room().cpu() * reserve), 0, 0));
+  }
+}
--- a/src/main/java/dunlincroft/coordination/Renting.java
+++ b/src/main/java/dunlincroft/coordination/Renting.java
@@ -29,16 +29,16 @@
   /** Machines there, with those that boot or are asked for. */
   record Have(int ordinary, int cheap, int blocks) {}
 
-  private final World world;
+  private final ClusterState world;
   private final Membership members;
   private final Cloud cloud;
   private final Demand demand;
   private final MachineDiscovery discovery;
-  private final ZoneWatch zones;
+  private final ZoneOutageDetector zones;
   private final Map<BlockClass, Long> refusedUntil = new HashMap<>();
   private final Map<String, Progress> progress = new HashMap<>();
   private final Map<BlockClass, Integer> hiring = new HashMap<>();
-  private final ReplicaRoom replicaRoom;
+  private final ReplicaHeadroom replicaRoom;
 
   /** Machines that other nodes own and do not hear. */
   private Set<String> silentElsewhere = Set.of();
@@ -50,19 +50,19 @@
   private Set<String> tightZones = Set.of();
 
   Renting(
-      World world,
+      ClusterState world,
       Membership members,
       Cloud cloud,
       Demand demand,
       MachineDiscovery discovery,
-      ZoneWatch zones) {
+      ZoneOutageDetector zones) {
     this.world = world;
     this.members = members;
     this.cloud = cloud;
     this.demand = demand;
     this.discovery = discovery;
     this.zones = zones;
-    this.replicaRoom = new ReplicaRoom(world, demand);
+    this.replicaRoom = new ReplicaHeadroom(world, demand);
   }
 
   /** What there is of a type, with what boots or is asked for. */
@@ -111,7 +111,8 @@
       return false;
     }
     if (machine.session.hasReported()) {
-      return world.now() - machine.session.lastHeardMs() < world.reports(Constants.SUSPECT_REPORTS);
+      return world.now() - machine.session.lastHeardMs()
+          < world.reportIntervalsMs(Constants.SUSPECT_REPORTS);
     }
     double startupS = machine.type == null ? 0 : machine.type.startupS();
     long age = world.env.wallMillis() - machine.hiredAtWall;
@@ -122,19 +123,19 @@
 
   /** Rents what all work lacks. */
   void tick() {
-    Map<String, Demand.Need> needs = demand.needs();
-    for (MachineType type : world.types.values()) {
-      Demand.Need need = needs.get(type.label());
+    Map<String, Demand.MachineDemand> needs = demand.smoothedDemand();
+    for (MachineType type : world.machineTypes.values()) {
+      Demand.MachineDemand need = needs.get(type.label());
       if (need == null) {
         continue;
       }
       Have have = have(type.label());
-      double ordinary = demand.ordinary(type, need);
+      double ordinary = demand.onDemandTarget(type, need);
       int lackOrdinary = (int) Math.ceil(ordinary) - have.ordinary;
       // Ordinary machines beyond what services need serve work that may move as well; counted as
       // in surplus(), so that none is rented to be returned at once.
       double beside = Math.max(0, have.ordinary - ordinary);
-      int lackCheap = (int) Math.ceil(need.cheap - have.cheap - beside);
+      int lackCheap = (int) Math.ceil(need.preemptible - have.cheap - beside);
       int room = world.policy.rentalsMost(type) - have.ordinary - have.cheap;
       lackOrdinary = Math.max(0, Math.min(lackOrdinary, room));
       lackCheap = Math.min(lackCheap, room - lackOrdinary);
@@ -150,10 +151,10 @@
   // ---- replicas without room ----
 
   /** What the waiting replicas count on and what they lack, beside all that is asked for. */
-  ReplicaRoom.Look replicas() {
+  ReplicaHeadroom.Assessment replicas() {
     Map<BlockClass, Integer> coming = new HashMap<>(hiring);
     discovery.addComing(coming);
-    return replicaRoom.look(this::keepsReplicas, silentElsewhere, coming, this::refused);
+    return replicaRoom.assess(this::keepsReplicas, silentElsewhere, coming, this::refused);
   }
 
   /**
@@ -170,28 +171,28 @@
    * what a second look finds as well: at the first one, starts may not be recorded yet.
    */
   void helpReplicas() {
-    ReplicaRoom.Look look = replicas();
+    ReplicaHeadroom.Assessment look = replicas();
     boolean again =
-        look.jobs().stream().anyMatch(withoutRoom::contains)
-            || look.tightZones().stream().anyMatch(tightZones::contains);
-    withoutRoom = look.jobs();
-    tightZones = look.tightZones();
+        look.unplacedServices().stream().anyMatch(withoutRoom::contains)
+            || look.fullZones().stream().anyMatch(tightZones::contains);
+    withoutRoom = look.unplacedServices();
+    tightZones = look.fullZones();
     if (!again) {
       return;
     }
-    look.lack()
+    look.shortages()
         .forEach(
             (lack, number) -> {
               BlockClass offer = lack.blockClass();
-              MachineType type = world.types.get(offer.flavour());
+              MachineType type = world.machineTypes.get(offer.flavour());
               Have have = have(type.label());
               int room = world.policy.rentalsMost(type) - have.ordinary - have.cheap;
               int ask = Math.min(number, room);
               if (ask > 0 && !hiring.containsKey(offer)) {
                 LOG.info(
                     "replicas of {} services find no room, zones {} have no more: {} more {}",
-                    look.jobs().size(),
-                    look.tightZones(),
+                    look.unplacedServices().size(),
+                    look.fullZones(),
                     ask,
                     offer);
                 ask(offer, ask, lack.shard());
@@ -201,7 +202,7 @@
 
   /** Whether the cloud has just refused machines of this class, or they could not be heard. */
   private boolean refused(BlockClass offer) {
-    return refusedUntil.getOrDefault(offer, 0L) > world.now() || zones.isCut(offer.hall());
+    return refusedUntil.getOrDefault(offer, 0L) > world.now() || zones.isCutOff(offer.hall());
   }
 
   /**
@@ -257,14 +258,14 @@
    * or all of a class in another shard. What waits so long without progress gets one more.
    */
   void helpStarved() {
-    progress.keySet().retainAll(world.index.all().keySet());
-    for (Map.Entry<String, JobIndex.Job> entry : world.index.all().entrySet()) {
+    progress.keySet().retainAll(world.jobIndex.all().keySet());
+    for (Map.Entry<String, JobIndex.Job> entry : world.jobIndex.all().entrySet()) {
       JobIndex.Job job = entry.getValue();
       int started = job.done() + job.placed();
       Progress last = progress.get(entry.getKey());
       if (last == null
           || last.started != started
-          || (job.placed() >= job.wanted() && world.misplaced(job) == 0)
+          || (job.placed() >= job.wanted() && world.misplacedReplicas(job) == 0)
           || job.faulty()) {
         progress.put(entry.getKey(), new Progress(started, world.now()));
       } else if (world.now() - last.since > Constants.STARVED_MS) {
@@ -276,27 +277,28 @@
 
   private void help(JobIndex.Job job) {
     JobSpec spec = job.spec;
-    MachineType type = demand.cheapest(spec);
+    MachineType type = demand.cheapestType(spec);
     Settings.Team team = world.settings.teams().get(spec.owner());
-    if (type == null || team == null || demand.cancelled(spec) || !world.wanted(spec)) {
+    if (type == null || team == null || demand.isCancelled(spec) || !world.needsMachines(spec)) {
       return;
     }
     Room taken = spec.room();
-    for (JobIndex.Job other : world.index.all().values()) {
+    for (JobIndex.Job other : world.jobIndex.all().values()) {
       if (other.spec.owner().equals(spec.owner())) {
         taken = taken.plus(other.spec.room().times(other.placed()));
       }
     }
-    Demand.Need need = demand.needs().getOrDefault(type.label(), new Demand.Need());
+    Demand.MachineDemand need =
+        demand.smoothedDemand().getOrDefault(type.label(), new Demand.MachineDemand());
     Have have = have(type.label());
     int all = have.ordinary + have.cheap;
-    boolean enough = all >= demand.ordinary(type, need) + need.cheap;
+    boolean enough = all >= demand.onDemandTarget(type, need) + need.preemptible;
     if (!enough || !taken.fits(team.limit()) || all >= world.policy.rentalsMost(type)) {
       return;
     }
     List<String> zones = world.zonesFor(job, type);
     String zone = zones.get(world.env.random().nextInt(zones.size()));
-    boolean cheap = world.spot(spec) && !refused(new BlockClass(type.label(), zone, true));
+    boolean cheap = world.allowsSpot(spec) && !refused(new BlockClass(type.label(), zone, true));
     BlockClass offer = new BlockClass(type.label(), zone, cheap);
     if (!hiring.containsKey(offer) && !refused(offer)) {
       LOG.info(
--- /dev/null
+++ b/src/main/java/dunlincroft/coordination/ReplicaHeadroom.java
@@ -0,0 +1,359 @@
+package dunlincroft.coordination;
+
+import dunlincroft.Constants;
+import dunlincroft.Settings;
+import dunlincroft.bookkeeping.BlockIndex;
+import dunlincroft.bookkeeping.JobIndex;
+import dunlincroft.protocol.BlockClass;
+import dunlincroft.protocol.JobSpec;
+import dunlincroft.protocol.JobSpec.Rank;
+import dunlincroft.protocol.MachineType;
+import dunlincroft.protocol.Room;
+import dunlincroft.protocol.TaskState.Place;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Predicate;
+
+/**
+ * Whether the replicas that wait find room, machine by machine and zone by zone. Machines may be
+ * enough by their number while what is free of them lies in pieces, or in a zone that has its part
+ * of a service already. Read off the records; lesser work yields to services and counts for
+ * nothing.
+ */
+final class ReplicaHeadroom {
+  /** What is to be rented: machines of one class for one shard. */
+  record Shortage(BlockClass blockClass, String shard) {}
+
+  /**
+   * What a look at all waiting replicas found.
+   *
+   * @param shortages machines that are to be rented, by class and shard
+   * @param unplacedServices services with a replica that finds no room
+   * @param fullZones zones that replicas on their way fill to the last machine
+   * @param reservedHosts machines on whose room a waiting replica counts
+   */
+  record Assessment(
+      Map<Shortage, Integer> shortages,
+      Set<String> unplacedServices,
+      Set<String> fullZones,
+      Set<String> reservedHosts) {
+    static final Assessment NONE_WAITING = new Assessment(Map.of(), Set.of(), Set.of(), Set.of());
+  }
+
+  /** A machine, there or on its way, with the room that services leave on it. */
+  private static final class Bin {
+    final String host;
+    final BlockClass blockClass;
+
+    /** The shard that holds it; null: whichever needs it. */
+    final String shard;
+
+    Room free;
+
+    Bin(String host, BlockClass blockClass, String shard, Room free) {
+      this.host = host;
+      this.blockClass = blockClass;
+      this.shard = shard;
+      this.free = free;
+    }
+  }
+
+  private final ClusterState cluster;
+  private final Demand demand;
+
+  ReplicaHeadroom(ClusterState cluster, Demand demand) {
+    this.cluster = cluster;
+    this.demand = demand;
+  }
+
+  /**
+   * Looks at all replicas that wait or whose machine does not serve any more.
+   *
+   * @param isServing whether a machine of ours serves or will soon
+   * @param silentElsewhere machines that other nodes own and do not hear
+   * @param provisioning machines on their way into blocks, by class
+   * @param unavailable classes of which none can be rented now
+   */
+  Assessment assess(
+      Predicate<Machine> isServing,
+      Set<String> silentElsewhere,
+      Map<BlockClass, Integer> provisioning,
+      Predicate<BlockClass> unavailable) {
+    Set<String> lostHosts = lostHosts(isServing);
+    lostHosts.addAll(silentElsewhere);
+    List<JobIndex.Job> waiting = waitingServices(lostHosts);
+    if (waiting.isEmpty()) {
+      return Assessment.NONE_WAITING;
+    }
+    List<Bin> bins = bins(lostHosts, provisioning);
+    Assessment assessment =
+        new Assessment(new HashMap<>(), new HashSet<>(), new HashSet<>(), new HashSet<>());
+    Map<String, Room> remainingLimits = remainingLimits();
+    int checksLeft = Constants.REPLICAS_LOOKED_AT;
+    for (JobIndex.Job job : waiting) {
+      if (checksLeft > 0) {
+        checksLeft -= pack(job, lostHosts, bins, remainingLimits, unavailable, assessment);
+      }
+    }
+    waiting.stream()
+        .filter(job -> replicasToMove(job, lostHosts) > 0)
+        .findFirst()
+        .ifPresent(largest -> keepZoneHeadroom(largest, bins, unavailable, assessment));
+    return assessment;
+  }
+
+  /**
+   * Replicas that lose their machines are placed as their machines are given up, one after the
+   * other, and not as they were packed here: one that may go anywhere takes room in the only zone
+   * that is left to another. So each zone keeps room for one more of the largest, on one more
+   * machine if need be; it is rented while the lost machines are still waited for.
+   */
+  private void keepZoneHeadroom(
+      JobIndex.Job largest,
+      List<Bin> bins,
+      Predicate<BlockClass> unavailable,
+      Assessment assessment) {
+    MachineType type = demand.cheapestType(largest.spec);
+    if (type == null) {
+      return;
+    }
+    for (String zone : cluster.zonesFor(largest, type)) {
+      BlockClass blockClass = new BlockClass(type.label(), zone, false);
+      Bin zoneBin = binOfClass(largest, blockClass, bins);
+      if (zoneBin == null && !unavailable.test(blockClass)) {
+        assessment.fullZones.add(zone);
+        assessment.shortages.merge(new Shortage(blockClass, largest.shard), 1, Integer::sum);
+      } else if (zoneBin != null && zoneBin.host != null) {
+        assessment.reservedHosts.add(zoneBin.host);
+      }
+    }
+  }
+
+  /** A machine of a class that has room for one more replica of a job, or null. */
+  private static Bin binOfClass(JobIndex.Job job, BlockClass blockClass, List<Bin> bins) {
+    return bins.stream()
+        .filter(bin -> bin.shard == null || bin.shard.equals(job.shard))
+        .filter(bin -> bin.blockClass.equals(blockClass))
+        .filter(bin -> job.spec.room().fits(bin.free))
+        .findFirst()
+        .orElse(null);
+  }
+
+  private static int replicasToMove(JobIndex.Job job, Set<String> lostHosts) {
+    return missingReplicas(job, lostHosts) - (job.wanted() - job.placed());
+  }
+
+  /** Machines in blocks that do not serve: what is recorded there moves. */
+  private Set<String> lostHosts(Predicate<Machine> isServing) {
+    Set<String> lostHosts = new HashSet<>();
+    for (Machine machine : cluster.machines.values()) {
+      if (!isServing.test(machine)) {
+        lostHosts.add(machine.host);
+      }
+    }
+    return lostHosts;
+  }
+
+  /** Services with replicas that wait or are to move, the largest replicas first. */
+  private List<JobIndex.Job> waitingServices(Set<String> lostHosts) {
+    List<JobIndex.Job> waiting = new ArrayList<>();
+    for (JobIndex.Job job : cluster.jobIndex.all().values()) {
+      JobSpec spec = job.spec;
+      if (spec.daemon()
+          && spec.rank() == Rank.PROD
+          && missingReplicas(job, lostHosts) > 0
+          && !job.faulty()
+          && !demand.isCancelled(spec)
+          && cluster.needsMachines(spec)
+          && !cluster.hasMigrationSides(spec)) {
+        waiting.add(job);
+      }
+    }
+    waiting.sort(
+        Comparator.comparingLong((JobIndex.Job job) -> -job.spec.room().cpu())
+            .thenComparing(job -> job.spec.ref()));
+    return waiting;
+  }
+
+  private static int missingReplicas(JobIndex.Job job, Set<String> lostHosts) {
+    int count = job.wanted() - job.placed();
+    for (Place place : job.places()) {
+      count += lostHosts.contains(place.host()) ? 1 : 0;
+    }
+    return count;
+  }
+
+  /** What each team's limit leaves for replicas that are on no machine. */
+  private Map<String, Room> remainingLimits() {
+    Map<String, Room> remainingLimits = new HashMap<>();
+    cluster
+        .settings
+        .teams()
+        .values()
+        .forEach(team -> remainingLimits.put(team.name(), team.limit()));
+    for (JobIndex.Job job : cluster.jobIndex.all().values()) {
+      Room used = job.spec.room().times(job.placed());
+      remainingLimits.computeIfPresent(
+          job.spec.owner(), (team, remaining) -> remaining.minus(used));
+    }
+    return remainingLimits;
+  }
+
+  // ---- machines ----
+
+  private List<Bin> bins(Set<String> lostHosts, Map<BlockClass, Integer> provisioning) {
+    Map<String, Room> usedByHost = usedByServices();
+    Map<BlockClass, Room> capacities = new HashMap<>();
+    List<Bin> bins = new ArrayList<>();
+    for (BlockIndex.Block block : cluster.blocks.all()) {
+      BlockClass blockClass = block.record().blockClass();
+      Room capacity = capacities.computeIfAbsent(blockClass, this::serviceCapacity);
+      for (String host : block.record().hosts().keySet()) {
+        if (!lostHosts.contains(host)) {
+          Room free = capacity.minus(usedByHost.getOrDefault(host, Room.NONE));
+          bins.add(new Bin(host, blockClass, block.record().shard(), free));
+        }
+      }
+    }
+    provisioning.forEach(
+        (blockClass, number) -> {
+          for (int i = 0; i < number; i++) {
+            bins.add(new Bin(null, blockClass, null, serviceCapacity(blockClass)));
+          }
+        });
+    return bins;
+  }
+
+  /** What does not yield to a service, by machine. */
+  private Map<String, Room> usedByServices() {
+    Map<String, Room> usedByHost = new HashMap<>();
+    for (JobIndex.Job job : cluster.jobIndex.all().values()) {
+      if (job.spec.rank() == Rank.PROD || job.spec.daemon()) {
+        for (Place place : job.places()) {
+          usedByHost.merge(place.host(), job.spec.room(), Room::plus);
+        }
+      }
+    }
+    return usedByHost;
+  }
+
+  /** A machine's room for services, less what the operators keep free. */
+  private Room serviceCapacity(BlockClass blockClass) {
+    MachineType type = cluster.machineTypes.get(blockClass.flavour());
+    if (type == null) {
+      return Room.NONE;
+    }
+    double bound = cluster.policy.bound(type, blockClass.hall(), blockClass.lendable());
+    return type.room().minus(new Room((long) (type.room().cpu() * (1 - bound)), 0, 0));
+  }
+
+  // ---- fitting ----
+
+  /** Finds room for the replicas of a service, one by one. Returns how many it looked at. */
+  private int pack(
+      JobIndex.Job job,
+      Set<String> lostHosts,
+      List<Bin> bins,
+      Map<String, Room> remainingLimits,
+      Predicate<BlockClass> unavailable,
+      Assessment assessment) {
+    JobSpec spec = job.spec;
+    Settings.Team team = cluster.settings.teams().get(spec.owner());
+    if (team == null) {
+      return 0;
+    }
+    Map<String, Integer> replicasPerZone = replicasPerZone(job, lostHosts);
+    int replicasToMove = replicasToMove(job, lostHosts);
+    int newReplicas =
+        spec.room().countIn(remainingLimits.get(team.name()), job.wanted() - job.placed());
+    remainingLimits.merge(team.name(), spec.room().times(newReplicas), Room::minus);
+    int number = Math.min(replicasToMove + newReplicas, Constants.REPLICAS_LOOKED_AT);
+    for (int i = 0; i < number; i++) {
+      Bin bin = bestBin(job, bins, replicasPerZone);
+      if (bin == null) {
+        assessment.unplacedServices.add(spec.ref());
+        bin = rentableBin(job, replicasPerZone, unavailable);
+        if (bin == null) {
+          return i + 1;
+        }
+        bins.add(bin);
+        assessment.shortages.merge(new Shortage(bin.blockClass, job.shard), 1, Integer::sum);
+      } else if (bin.host != null) {
+        assessment.reservedHosts.add(bin.host);
+      }
+      bin.free = bin.free.minus(spec.room());
+      replicasPerZone.merge(bin.blockClass.hall(), 1, Integer::sum);
+    }
+    return number;
+  }
+
+  /** The replicas of a service that stay where they are, by zone. */
+  private Map<String, Integer> replicasPerZone(JobIndex.Job job, Set<String> lostHosts) {
+    Map<String, Integer> replicasPerZone = new HashMap<>();
+    for (Place place : job.places()) {
+      BlockIndex.Block block =
+          lostHosts.contains(place.host()) ? null : cluster.blocks.of(place.host());
+      if (block != null) {
+        replicasPerZone.merge(block.record().blockClass().hall(), 1, Integer::sum);
+      }
+    }
+    return replicasPerZone;
+  }
+
+  /** A machine with room for one more replica, in the zone with the fewest of them. */
+  private Bin bestBin(JobIndex.Job job, List<Bin> bins, Map<String, Integer> replicasPerZone) {
+    Bin best = null;
+    for (Bin bin : bins) {
+      if (job.spec.room().fits(bin.free)
+          && (bin.shard == null || bin.shard.equals(job.shard))
+          && isSuitable(job.spec, bin.blockClass, replicasPerZone)
+          && (best == null
+              || replicasIn(replicasPerZone, bin) < replicasIn(replicasPerZone, best))) {
+        best = bin;
+      }
+    }
+    return best;
+  }
+
+  private static int replicasIn(Map<String, Integer> replicasPerZone, Bin bin) {
+    return replicasPerZone.getOrDefault(bin.blockClass.hall(), 0);
+  }
+
+  private boolean isSuitable(
+      JobSpec spec, BlockClass blockClass, Map<String, Integer> replicasPerZone) {
+    String zone = blockClass.hall();
+    boolean otherZone =
+        spec.samePlace() && !replicasPerZone.isEmpty() && !replicasPerZone.containsKey(zone);
+    return !otherZone
+        && replicasPerZone.getOrDefault(zone, 0) < spec.zoneMost()
+        && spec.allows(blockClass.flavour(), zone, blockClass.lendable())
+        && (!blockClass.lendable() || cluster.allowsSpot(spec));
+  }
+
+  /** A machine that could be rented for one more replica, or null. */
+  private Bin rentableBin(
+      JobIndex.Job job, Map<String, Integer> replicasPerZone, Predicate<BlockClass> excluded) {
+    MachineType type = demand.cheapestType(job.spec);
+    if (type == null) {
+      return null;
+    }
+    Bin best = null;
+    for (String zone : type.halls()) {
+      BlockClass blockClass = new BlockClass(type.label(), zone, false);
+      Bin bin = new Bin(null, blockClass, job.shard, serviceCapacity(blockClass));
+      if (!excluded.test(blockClass)
+          && isSuitable(job.spec, blockClass, replicasPerZone)
+          && job.spec.room().fits(bin.free)
+          && (best == null
+              || replicasIn(replicasPerZone, bin) < replicasIn(replicasPerZone, best))) {
+        best = bin;
+      }
+    }
+    return best;
+  }
+}
--- a/src/main/java/dunlincroft/coordination/ReportHandler.java
+++ b/src/main/java/dunlincroft/coordination/ReportHandler.java
@@ -16,11 +16,11 @@
 final class ReportHandler {
   private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
 
-  private final World world;
+  private final ClusterState world;
   private final Ledger ledger;
   private final FaultAttribution faults;
 
-  ReportHandler(World world, Ledger ledger, FaultAttribution faults) {
+  ReportHandler(ClusterState world, Ledger ledger, FaultAttribution faults) {
     this.world = world;
     this.ledger = ledger;
     this.faults = faults;
@@ -36,9 +36,9 @@
   private void hears(Machine machine) {
     switch (machine.session.state()) {
       case UNREPORTED, HEARS -> {}
-      case UNSURE -> world.placeDue = true;
+      case UNSURE -> world.placementDue = true;
       case DEAF -> {
-        world.placeDue = true;
+        world.placementDue = true;
         LOG.info(
             "host {} hears us again, after {} ms",
             machine.host,
@@ -56,7 +56,7 @@
           machine.flavour,
           machine.hall,
           machine.lendable ? "spot" : "ordinary");
-      world.placeDue = true;
+      world.placementDue = true;
     }
     hears(machine);
     machine.session.onReport(report, world.now());
@@ -65,12 +65,12 @@
       warned(machine, report.warningS());
     }
     machine.pieces = report.pieces();
-    machine.placed.values().forEach(p -> p.shown = false);
+    machine.placed.values().forEach(p -> p.inLastReport = false);
     Room orphans = Room.NONE;
     for (Piece piece : report.pieces()) {
       Placement p = machine.placed.get(piece.id());
       if (p != null && p.attempt == piece.attempt()) {
-        p.shown = true;
+        p.inLastReport = true;
         show(machine, p, piece);
       } else {
         JobRun job = world.jobs.get(piece.job());
@@ -83,9 +83,9 @@
     }
     machine.orphans = orphans;
     for (Placement p : List.copyOf(machine.placed.values())) {
-      if (!p.shown) {
-        p.status = null;
-        if (p.stop && machine.session.provenAbsent()) {
+      if (!p.inLastReport) {
+        p.reportedStatus = null;
+        if (p.stopRequested && machine.session.provenAbsent()) {
           clear(p, "not on the machine");
         }
       }
@@ -100,9 +100,9 @@
   private void warned(Machine machine, double warningS) {
     LOG.info("host {} will be taken in {} s: draining", machine.host, warningS);
     machine.draining = "notice";
-    world.placeDue = true;
+    world.placementDue = true;
     for (Placement p : machine.placed.values()) {
-      double left = p.job.spec.expectS() - (world.now() - p.sinceMs) / 1000.0;
+      double left = p.job.spec.expectS() - (world.now() - p.placedAtMs) / 1000.0;
       // A notice may be half as long as it says; what will not end in that time moves at once.
       if (left > warningS / 2) {
         p.job.halt(p);
@@ -112,16 +112,16 @@
 
   /** A report shows a recorded placement. */
   private void show(Machine machine, Placement p, Piece piece) {
-    boolean started = p.status == null || !p.status.equals(Wire.RUNNING);
-    p.status = piece.status();
-    p.sent = true;
+    boolean started = p.reportedStatus == null || !p.reportedStatus.equals(Wire.RUNNING);
+    p.reportedStatus = piece.status();
+    p.orderSent = true;
     if (!piece.exited()) {
       if (started && piece.status().equals(Wire.RUNNING)) {
         machine.imageThere(p.job.spec.bundle());
-        p.runsSince = world.now();
-        world.figures.started(p, world.now());
+        p.runningSinceMs = world.now();
+        world.metrics.started(p, world.now());
       } else if (piece.status().equals(Wire.RUNNING)
-          && world.now() - p.runsSince > Constants.RAN_MS) {
+          && world.now() - p.runningSinceMs > Constants.RAN_MS) {
         faults.ranWell(p);
       }
       return;
@@ -137,14 +137,14 @@
       machine.failures = 0;
       machine.failedJobs.clear();
       faults.ranWell(p);
-      if (p.runsSince > 0) {
-        world.conditions.ran(p.job.spec, (world.now() - p.runsSince) / 1000.0);
+      if (p.runningSinceMs > 0) {
+        world.conditions.ran(p.job.spec, (world.now() - p.runningSinceMs) / 1000.0);
       }
-      LOG.debug("{} try {} is done on host {}", p.piece(), p.attempt, machine.host);
+      LOG.debug("{} try {} is done on host {}", p.taskName(), p.attempt, machine.host);
       p.job.clear(p);
       p.job.finish(p.task);
       ledger.dirty(p.job, p.task, false);
-      world.placeDue = true;
+      world.placementDue = true;
     } else {
       if (machine.session.hasUnresolvedCommand()) {
         // An order without an answer may repeat this try, should the worker begin anew: the fence
@@ -174,9 +174,9 @@
 
   /** The task is proven to be off the machine; it waits again unless its job is cancelled. */
   void clear(Placement p, String why) {
-    LOG.debug("{} try {} left host {}: {}", p.piece(), p.attempt, p.machine.host, why);
+    LOG.debug("{} try {} left host {}: {}", p.taskName(), p.attempt, p.machine.host, why);
     p.job.clear(p);
     ledger.dirty(p.job, p.task, false);
-    world.placeDue = true;
+    world.placementDue = true;
   }
 }
--- a/src/main/java/dunlincroft/coordination/Claims.java
+++ b/src/main/java/dunlincroft/coordination/Reservations.java
@@ -15,47 +15,47 @@
  * on the same: room is made for one of them at a time, and hundreds of services of a lost zone wait
  * for each other. It binds nobody: who finds room first takes it.
  */
-final class Claims {
-  private record Claim(Machine machine, Room room) {}
+final class Reservations {
+  private record Reservation(Machine machine, Room resources) {}
 
-  private final Map<JobRun, List<Claim>> byJob = new HashMap<>();
-  private final Map<Machine, Room> claimed = new HashMap<>();
+  private final Map<JobRun, List<Reservation>> byJob = new HashMap<>();
+  private final Map<Machine, Room> byMachine = new HashMap<>();
 
   /** What is claimed of a machine. */
-  Room on(Machine machine) {
-    return claimed.getOrDefault(machine, Room.NONE);
+  Room reservedOn(Machine machine) {
+    return byMachine.getOrDefault(machine, Room.NONE);
   }
 
   /** A job counts on room for so many of its tasks on a machine. */
-  void claim(JobRun job, Machine machine, int tasks) {
+  void reserve(JobRun job, Machine machine, int tasks) {
     if (tasks > 0) {
-      Room room = job.spec.room().times(tasks);
-      byJob.computeIfAbsent(job, j -> new ArrayList<>()).add(new Claim(machine, room));
-      claimed.merge(machine, room, Room::plus);
+      Room resources = job.spec.room().times(tasks);
+      byJob.computeIfAbsent(job, j -> new ArrayList<>()).add(new Reservation(machine, resources));
+      byMachine.merge(machine, resources, Room::plus);
     }
   }
 
   /** A job counts on nothing any more, or looks anew. */
   void release(JobRun job) {
-    List<Claim> claims = byJob.remove(job);
-    if (claims != null) {
-      for (Claim claim : claims) {
-        Room left = on(claim.machine).minus(claim.room);
-        if (left.equals(Room.NONE)) {
-          claimed.remove(claim.machine);
+    List<Reservation> released = byJob.remove(job);
+    if (released != null) {
+      for (Reservation reservation : released) {
+        Room remaining = reservedOn(reservation.machine).minus(reservation.resources);
+        if (remaining.equals(Room.NONE)) {
+          byMachine.remove(reservation.machine);
         } else {
-          claimed.put(claim.machine, left);
+          byMachine.put(reservation.machine, remaining);
         }
       }
     }
   }
 
   /** Only these jobs wait now; of a round over services alone, no others are spoken of. */
-  void keep(Collection<JobRun> waiting, boolean services) {
+  void retainWaiting(Collection<JobRun> waiting, boolean servicesOnly) {
     if (!byJob.isEmpty()) {
-      Set<JobRun> wait = new HashSet<>(waiting);
+      Set<JobRun> waitingJobs = new HashSet<>(waiting);
       for (JobRun job : List.copyOf(byJob.keySet())) {
-        if (!wait.contains(job) && (!services || job.spec.rank() == Rank.PROD)) {
+        if (!waitingJobs.contains(job) && (!servicesOnly || job.spec.rank() == Rank.PROD)) {
           release(job);
         }
       }
--- a/src/main/java/dunlincroft/coordination/Ring.java
+++ b/src/main/java/dunlincroft/coordination/Ring.java
@@ -14,22 +14,22 @@
   private final List<Machine> machines;
 
   /** Points in order, and the number of the machine that each belongs to. */
-  private final long[] at;
+  private final long[] ringPoints;
 
-  private final long[] machineAt;
+  private final long[] machineIndexAt;
 
   Ring(Collection<Machine> machines) {
     this.machines = List.copyOf(machines);
-    at = new long[this.machines.size() * Constants.RING_POINTS];
-    machineAt = new long[at.length];
+    ringPoints = new long[this.machines.size() * Constants.RING_POINTS];
+    machineIndexAt = new long[ringPoints.length];
     int next = 0;
-    for (int number = 0; number < this.machines.size(); number++) {
-      for (long point : this.machines.get(number).points) {
-        at[next] = point;
-        machineAt[next++] = number;
+    for (int machineIndex = 0; machineIndex < this.machines.size(); machineIndex++) {
+      for (long point : this.machines.get(machineIndex).points) {
+        ringPoints[next] = point;
+        machineIndexAt[next++] = machineIndex;
       }
     }
-    LongArrays.radixSort(at, machineAt);
+    LongArrays.radixSort(ringPoints, machineIndexAt);
   }
 
   /** Where a machine stands: a matter of its name alone, so that others' places stay. */
@@ -42,16 +42,16 @@
   }
 
   /** All machines, each once, clockwise from where {@code image} lands. */
-  List<Machine> walk(String image) {
-    int found = Arrays.binarySearch(at, Hashing.of(image));
-    int low = found < 0 ? -found - 1 : found;
-    BitSet met = new BitSet(machines.size());
+  List<Machine> preferenceList(String image) {
+    int found = Arrays.binarySearch(ringPoints, Hashing.of(image));
+    int start = found < 0 ? -found - 1 : found;
+    BitSet seen = new BitSet(machines.size());
     List<Machine> order = new ArrayList<>(machines.size());
-    for (int i = 0; i < at.length && order.size() < machines.size(); i++) {
-      int number = (int) machineAt[(low + i) % at.length];
-      if (!met.get(number)) {
-        met.set(number);
-        order.add(machines.get(number));
+    for (int i = 0; i < ringPoints.length && order.size() < machines.size(); i++) {
+      int machineIndex = (int) machineIndexAt[(start + i) % ringPoints.length];
+      if (!seen.get(machineIndex)) {
+        seen.set(machineIndex);
+        order.add(machines.get(machineIndex));
       }
     }
     return order;
--- a/src/main/java/dunlincroft/coordination/Scheduler.java
+++ b/src/main/java/dunlincroft/coordination/Scheduler.java
@@ -32,127 +32,133 @@
 final class Scheduler {
   private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
 
-  private final Claims claims = new Claims();
-  private final World world;
-  private final Ledger ledger;
-  private final Terms terms;
+  private final Reservations reservations = new Reservations();
+  private final ClusterState cluster;
+  private final Ledger placementLog;
+  private final StartConditions startConditions;
 
   /** A job that is overdue begins with one in so many of its tasks. */
-  private static final int OVERDUE_PART = 8;
+  private static final int OVERDUE_START_DIVISOR = 8;
 
   /** What has been found to be without room in the present round. */
-  private final List<Wish> full = new ArrayList<>();
+  private final List<PlacementRequest> unplaceable = new ArrayList<>();
 
   /** When the present round began. */
-  private long roundAt;
+  private long roundStartMs;
 
   /** Whether any machine has room for anything that waits, in the present round. */
-  private boolean anyOpen;
+  private boolean anyMachineAvailable;
 
   /** Jobs within their teams' guarantees, looked up now and then. */
-  private Set<String> guaranteed = Set.of();
+  private Set<String> cachedGuaranteedIds = Set.of();
 
-  private long nextGuaranteed;
+  private long nextGuaranteeRefreshMs;
 
-  Scheduler(World world, Ledger ledger, Terms terms) {
-    this.world = world;
-    this.ledger = ledger;
-    this.terms = terms;
+  Scheduler(ClusterState cluster, Ledger placementLog, StartConditions startConditions) {
+    this.cluster = cluster;
+    this.placementLog = placementLog;
+    this.startConditions = startConditions;
   }
 
   /**
    * One round over all waiting work, or over services alone, which cannot wait for the end of a
    * long round's pause. Returns machines that have new orders to stop tasks.
    */
-  Set<Machine> place(boolean services) {
-    long now = world.now();
-    roundAt = now;
-    Set<Machine> stopped = new LinkedHashSet<>();
-    Map<String, Room> teamShare = new HashMap<>();
-    Map<String, Room> used = new HashMap<>();
-    Set<String> hastened = new HashSet<>();
+  Set<Machine> place(boolean servicesOnly) {
+    long now = cluster.now();
+    roundStartMs = now;
+    Set<Machine> machinesWithStops = new LinkedHashSet<>();
+    Map<String, Room> remainingShares = new HashMap<>();
+    Map<String, Room> usageByLimit = new HashMap<>();
+    Set<String> expeditedTeams = new HashSet<>();
     List<JobRun> waiting = new ArrayList<>();
-    for (JobRun job : world.jobs.values()) {
+    for (JobRun job : cluster.jobs.values()) {
       if (job.booked() > 0) {
-        used.merge(job.limitKey, job.spec.room().times(job.booked()), Room::plus);
+        usageByLimit.merge(job.limitKey, job.spec.room().times(job.booked()), Room::plus);
       }
       if (job.cancelled || job.finishing || job.waiting() == 0) {
         job.waitingSince = -1;
-      } else if (now >= job.retryAtMs && (!services || job.spec.rank() == Rank.PROD)) {
-        if (terms.mayStart(job)) {
+      } else if (now >= job.retryAtMs && (!servicesOnly || job.spec.rank() == Rank.PROD)) {
+        if (startConditions.mayStart(job)) {
           waiting.add(job);
         } else {
           job.waitingSince = -1;
         }
       }
     }
-    claims.keep(waiting, services);
+    reservations.retainWaiting(waiting, servicesOnly);
     if (waiting.isEmpty()) {
-      return stopped; // As mostly at those who hold no machines.
+      return machinesWithStops; // As mostly at those who hold no machines.
     }
-    Set<String> within = services ? Set.of() : withinGuarantee();
-    sort(waiting, within);
-    full.clear();
-    open(waiting);
+    Set<String> guaranteedIds = servicesOnly ? Set.of() : guaranteedJobIds();
+    sort(waiting, guaranteedIds);
+    unplaceable.clear();
+    markAvailableMachines(waiting);
     for (JobRun job : waiting) {
-      Room left =
-          teamShare.computeIfAbsent(
+      Room remaining =
+          remainingShares.computeIfAbsent(
               job.limitKey,
               key ->
-                  world
-                      .share(job.spec.owner(), job.shard)
-                      .minus(used.getOrDefault(key, Room.NONE)));
-      int may = job.spec.room().countIn(left, job.waiting());
+                  cluster
+                      .usableShare(job.spec.owner(), job.shard)
+                      .minus(usageByLimit.getOrDefault(key, Room.NONE)));
+      int maxStarts = job.spec.room().countIn(remaining, job.waiting());
       if (job.faulty) {
-        may = Math.max(0, Math.min(may, 1 - job.placed.size()));
+        maxStarts = Math.max(0, Math.min(maxStarts, 1 - job.placed.size()));
       }
-      if (may < job.waiting() && hastened.add(job.spec.owner())) {
-        ledger.hasten(job.spec.owner());
+      if (maxStarts < job.waiting() && expeditedTeams.add(job.spec.owner())) {
+        placementLog.hasten(job.spec.owner());
       }
       if (job.overdueSince < Long.MAX_VALUE && !job.begun()) {
         // To begin is enough: a large one must not take the others' turn with all its tasks.
-        may = Math.min(may, (job.spec.pieces() + OVERDUE_PART - 1) / OVERDUE_PART);
+        maxStarts =
+            Math.min(
+                maxStarts, (job.spec.pieces() + OVERDUE_START_DIVISOR - 1) / OVERDUE_START_DIVISOR);
       }
       if (job.unsettled()) {
-        ledger.hasten(job);
-        may = 0;
+        placementLog.hasten(job);
+        maxStarts = 0;
       }
       int placed =
-          may == 0 ? 0 : job.sides == null ? placeJob(job, may, now) : placeSides(job, may);
+          maxStarts == 0
+              ? 0
+              : job.sides == null
+                  ? placeJob(job, maxStarts, now)
+                  : placeByMigrationSide(job, maxStarts);
       if (placed > 0) {
-        teamShare.put(job.limitKey, left.minus(job.spec.room().times(placed)));
+        remainingShares.put(job.limitKey, remaining.minus(job.spec.room().times(placed)));
       }
-      if (placed == may) {
+      if (placed == maxStarts) {
         job.waitingSince = -1;
-        claims.release(job);
+        reservations.release(job);
         continue;
       }
       if (job.waitingSince < 0) {
         job.waitingSince = now;
       }
-      if (placed < may) {
-        preempt(job, may - placed, within, now, stopped);
+      if (placed < maxStarts) {
+        preempt(job, maxStarts - placed, guaranteedIds, now, machinesWithStops);
       }
     }
-    return stopped;
+    return machinesWithStops;
   }
 
   /**
    * Marks the machines on which the smallest of the waiting tasks could have room: the others are
    * passed at a glance by every walk of this round, in which room only becomes less.
    */
-  private void open(List<JobRun> waiting) {
-    Room least = waiting.get(0).spec.room();
+  private void markAvailableMachines(List<JobRun> waiting) {
+    Room smallest = waiting.get(0).spec.room();
     for (JobRun job : waiting) {
-      least = job.spec.room().cpu() < least.cpu() ? job.spec.room() : least;
+      smallest = job.spec.room().cpu() < smallest.cpu() ? job.spec.room() : smallest;
     }
-    anyOpen = false;
-    for (Machine machine : world.machines.values()) {
+    anyMachineAvailable = false;
+    for (Machine machine : cluster.machines.values()) {
       machine.open =
           machine.type != null
-              && machine.mayHave(least, world.kept(machine, true))
-              && world.usable(machine, roundAt);
-      anyOpen |= machine.open;
+              && machine.mayHave(smallest, cluster.reservedCpu(machine, true))
+              && cluster.isUsable(machine, roundStartMs);
+      anyMachineAvailable |= machine.open;
     }
   }
 
@@ -162,34 +168,35 @@
    * Ids of jobs that fit into their team's guarantee together with the team's earlier jobs, read
    * off the records: a guarantee is the team's, whoever holds its jobs.
    */
-  private Set<String> withinGuarantee() {
-    if (roundAt >= nextGuaranteed) {
-      nextGuaranteed = roundAt + Constants.WITHIN_MS;
-      guaranteed = withinGuaranteeNow();
+  private Set<String> guaranteedJobIds() {
+    if (roundStartMs >= nextGuaranteeRefreshMs) {
+      nextGuaranteeRefreshMs = roundStartMs + Constants.WITHIN_MS;
+      cachedGuaranteedIds = computeGuaranteedJobIds();
     }
-    return guaranteed;
+    return cachedGuaranteedIds;
   }
 
-  private Set<String> withinGuaranteeNow() {
-    List<JobIndex.Job> byAge = new ArrayList<>(world.index.all().values());
+  private Set<String> computeGuaranteedJobIds() {
+    List<JobIndex.Job> byAge = new ArrayList<>(cluster.jobIndex.all().values());
     byAge.sort(Comparator.comparingLong((JobIndex.Job job) -> job.acceptedAt));
-    Map<String, Room> taken = new HashMap<>();
-    Set<String> within = new HashSet<>();
+    Map<String, Room> usageByTeam = new HashMap<>();
+    Set<String> guaranteedIds = new HashSet<>();
     for (JobIndex.Job job : byAge) {
-      Settings.Team team = world.settings.teams().get(job.spec.owner());
+      Settings.Team team = cluster.settings.teams().get(job.spec.owner());
       if (team == null
-          || world.replica.get(Replica.CANCELS, job.spec.ref()) != null
-          || !world.wanted(job.spec)) {
+          || cluster.replica.get(Replica.CANCELS, job.spec.ref()) != null
+          || !cluster.needsMachines(job.spec)) {
         continue;
       }
-      long open = job.wanted();
-      Room sum = taken.getOrDefault(team.name(), Room.NONE).plus(job.spec.room().times(open));
-      taken.put(team.name(), sum);
+      long openTasks = job.wanted();
+      Room sum =
+          usageByTeam.getOrDefault(team.name(), Room.NONE).plus(job.spec.room().times(openTasks));
+      usageByTeam.put(team.name(), sum);
       if (sum.fits(team.guarantee()) && !job.faulty()) {
-        within.add(job.spec.ref());
+        guaranteedIds.add(job.spec.ref());
       }
     }
-    return within;
+    return guaranteedIds;
   }
 
   private static final Comparator<JobRun> ORDER =
@@ -201,12 +208,12 @@
           .thenComparingLong(job -> job.acceptedAt)
           .thenComparing(job -> job.id);
 
-  private void sort(List<JobRun> waiting, Set<String> within) {
-    long wall = world.env.wallMillis();
+  private void sort(List<JobRun> waiting, Set<String> guaranteedIds) {
+    long wallMs = cluster.env.wallMillis();
     for (JobRun job : waiting) {
-      job.slack = slack(job, wall);
-      job.within = within.contains(job.id);
-      job.overdueSince = overdue(job, wall) ? job.acceptedAt : Long.MAX_VALUE;
+      job.slack = slack(job, wallMs);
+      job.within = guaranteedIds.contains(job.id);
+      job.overdueSince = isOverdue(job, wallMs) ? job.acceptedAt : Long.MAX_VALUE;
     }
     waiting.sort(ORDER);
   }
@@ -216,131 +223,136 @@
    * begin, and for its last task. Without it a job whose time is lost would be passed for ever by
    * such as can still be in time, and a large one by small ones.
    */
-  private static boolean overdue(JobRun job, long wall) {
-    long age = wall - job.acceptedAt;
+  private static boolean isOverdue(JobRun job, long wallMs) {
+    long ageMs = wallMs - job.acceptedAt;
     return !job.faulty
-        && age > (job.begun() ? Constants.OVERDUE_MS : Constants.OVERDUE_TO_BEGIN_MS);
+        && ageMs > (job.begun() ? Constants.OVERDUE_MS : Constants.OVERDUE_TO_BEGIN_MS);
   }
 
   /**
    * Seconds that a job may still wait and be in time, by its own deadline and by what the operators
    * hope for its class. A time that is lost already yields to those that can still be met.
    */
-  private double slack(JobRun job, long wall) {
-    double age = (wall - job.acceptedAt) / 1000.0;
-    double least = job.spec.dueS() - job.spec.expectS() - age;
+  private double slack(JobRun job, long wallMs) {
+    double ageS = (wallMs - job.acceptedAt) / 1000.0;
+    double slackS = job.spec.dueS() - job.spec.expectS() - ageS;
     if (job.endsByMs < Long.MAX_VALUE) {
-      least = Math.min(least, (job.endsByMs - wall) / 1000.0 - job.spec.expectS());
+      slackS = Math.min(slackS, (job.endsByMs - wallMs) / 1000.0 - job.spec.expectS());
     }
-    if (least < -job.spec.expectS() / 2) {
-      least = JobSpec.NO_DUE;
+    if (slackS < -job.spec.expectS() / 2) {
+      slackS = JobSpec.NO_DUE;
     }
-    for (Settings.Hope hope : world.settings.hopes()) {
-      double left = hope.withinS() - job.spec.expectS() - age;
-      if (hope.jobclass().equals(job.spec.jobclass()) && left > -job.spec.expectS() / 2) {
-        least = Math.min(least, left);
+    for (Settings.Hope hope : cluster.settings.hopes()) {
+      double secondsLeft = hope.withinS() - job.spec.expectS() - ageS;
+      if (hope.jobclass().equals(job.spec.jobclass()) && secondsLeft > -job.spec.expectS() / 2) {
+        slackS = Math.min(slackS, secondsLeft);
       }
     }
-    return least;
+    return slackS;
   }
 
   // ---- the walk ----
 
   /** What is free for a job's tasks on a machine, or null when the machine is not for them. */
-  private Room roomFor(JobRun job, Machine machine) {
-    return machine.mayHave(job.spec.room(), kept(job, machine)) && suits(job, machine)
-        ? freeFor(job, machine)
+  private Room usableCapacity(JobRun job, Machine machine) {
+    return machine.mayHave(job.spec.room(), reservedCpu(job, machine)) && isSuitable(job, machine)
+        ? freeCapacity(job, machine)
         : null;
   }
 
-  private boolean suits(JobRun job, Machine machine) {
-    return world.usable(machine, roundAt)
+  private boolean isSuitable(JobRun job, Machine machine) {
+    return cluster.isUsable(machine, roundStartMs)
         && machine.shard.equals(job.shard)
-        && world.allows(job, machine)
+        && cluster.allows(job, machine)
         && job.seeks(machine)
         && !machine.failedJobs.contains(job.id);
   }
 
-  private Room freeFor(JobRun job, Machine machine) {
-    return machine.free().minus(new Room(kept(job, machine), 0, 0));
+  private Room freeCapacity(JobRun job, Machine machine) {
+    return machine.free().minus(new Room(reservedCpu(job, machine), 0, 0));
   }
 
-  private long kept(JobRun job, Machine machine) {
-    return machine.type == null ? 0 : world.kept(machine, job.spec.rank() == Rank.PROD);
+  private long reservedCpu(JobRun job, Machine machine) {
+    return machine.type == null ? 0 : cluster.reservedCpu(machine, job.spec.rank() == Rank.PROD);
   }
 
   /** Constraints and room of work that found no machine in this round. */
-  record Wish(
-      String shard, boolean spot, boolean service, List<String> types, String zone, Room room) {
-    static Wish of(JobRun job, boolean spot) {
+  record PlacementRequest(
+      String shard,
+      boolean spot,
+      boolean service,
+      List<String> types,
+      String zone,
+      Room resources) {
+    static PlacementRequest of(JobRun job, boolean spot) {
       JobSpec spec = job.spec;
       boolean prod = spec.rank() == Rank.PROD;
-      return new Wish(job.shard, spot, prod, spec.flavours(), spec.hall(), spec.room());
+      return new PlacementRequest(job.shard, spot, prod, spec.flavours(), spec.hall(), spec.room());
     }
 
     /** Where this one found nothing, the other finds nothing either. */
-    boolean covers(Wish other) {
+    boolean covers(PlacementRequest other) {
       return shard.equals(other.shard)
           && spot == other.spot
           && service == other.service
           && Objects.equals(types, other.types)
           && Objects.equals(zone, other.zone)
-          && room.fits(other.room);
+          && resources.fits(other.resources);
     }
   }
 
   /** Each side's tasks on its own machines; what finds no room there waits for it. */
-  private int placeSides(JobRun job, int most) {
+  private int placeByMigrationSide(JobRun job, int maxTasks) {
     int placed = 0;
     for (int side : new int[] {Sides.OLD, Sides.NEW}) {
-      int waiting = Math.min(most - placed, job.seek(side));
+      int waiting = Math.min(maxTasks - placed, job.seek(side));
       // What is remembered as without room is so for both sides: it says nothing of one.
-      placed += waiting == 0 ? 0 : placeJob(job, waiting, roundAt);
+      placed += waiting == 0 ? 0 : placeJob(job, waiting, roundStartMs);
     }
     job.seek(-1);
     return placed;
   }
 
-  private int placeJob(JobRun job, int most, long now) {
-    if (!anyOpen) {
+  private int placeJob(JobRun job, int maxTasks, long now) {
+    if (!anyMachineAvailable) {
       return 0;
     }
     if (job.wish == null) {
-      job.wish = Wish.of(job, world.spot(job));
+      job.wish = PlacementRequest.of(job, cluster.allowsSpot(job));
     }
-    Wish wish = job.wish;
-    for (Wish other : full) {
-      if (other.covers(wish)) {
+    PlacementRequest request = job.wish;
+    for (PlacementRequest other : unplaceable) {
+      if (other.covers(request)) {
         return 0;
       }
     }
-    List<Machine> walk = candidates(job);
-    if (walk.isEmpty()) {
+    List<Machine> ordered = candidates(job);
+    if (ordered.isEmpty()) {
       if (!job.everFailed && job.sides == null) {
-        full.add(wish); // A job that failed somewhere has fewer machines than its like.
+        unplaceable.add(request); // A job that failed somewhere has fewer machines than its like.
       }
       return 0;
     }
     int placed = 0;
     if (job.spec.samePlace() && job.spec.pieces() > 1) {
-      String zone = theZone(job, walk);
-      walk = walk.stream().filter(machine -> machine.hall.equals(zone)).toList();
+      String zone = commonZone(job, ordered);
+      ordered = ordered.stream().filter(machine -> machine.hall.equals(zone)).toList();
     }
     if (job.spec.spread() && job.spec.pieces() > 1) {
-      Collection<List<Machine>> groups = byWarmth(job, walk);
-      while (placed < most && placeSpread(job, groups, now)) {
+      Collection<List<Machine>> groups = groupByImageState(job, ordered);
+      while (placed < maxTasks && placeSpread(job, groups, now)) {
         placed++;
       }
       return placed;
     }
     // With the random buffer first, then wherever there is exact room.
     for (boolean buffered : new boolean[] {true, false}) {
-      for (List<Machine> alike : byWarmth(job, walk)) {
-        for (Machine machine : alike) {
-          if (placed == most) {
+      for (List<Machine> machineGroup : groupByImageState(job, ordered)) {
+        for (Machine machine : machineGroup) {
+          if (placed == maxTasks) {
             return placed;
           }
-          placed += fill(job, machine, most - placed, buffered, now);
+          placed += fill(job, machine, maxTasks - placed, buffered, now);
         }
       }
     }
@@ -352,12 +364,12 @@
    * images share a machine's rate, so that all of them are late: one that fetches already is passed
    * for one that does not, and only services that have waited begin a second fetch there.
    */
-  private Collection<List<Machine>> byWarmth(JobRun job, List<Machine> walk) {
+  private Collection<List<Machine>> groupByImageState(JobRun job, List<Machine> ordered) {
     Map<Warmth, List<Machine>> groups = new EnumMap<>(Warmth.class);
-    for (Machine machine : walk) {
-      Warmth warmth = machine.warmth(job.spec.bundle());
-      if (warmth != Warmth.CROWDED || mayCrowd(job)) {
-        groups.computeIfAbsent(warmth, w -> new ArrayList<>()).add(machine);
+    for (Machine machine : ordered) {
+      Warmth imageState = machine.warmth(job.spec.bundle());
+      if (imageState != Warmth.CROWDED || mayStartConcurrentFetch(job)) {
+        groups.computeIfAbsent(imageState, w -> new ArrayList<>()).add(machine);
       }
     }
     return groups.values();
@@ -370,66 +382,67 @@
    * images are.
    */
   private List<Machine> candidates(JobRun job) {
-    boolean spot = world.spot(job);
-    List<Machine> first = new ArrayList<>();
-    List<Machine> second = new ArrayList<>();
-    List<Machine> third = new ArrayList<>();
-    for (Machine machine : world.walk(job.spec.bundle())) {
-      Room free = machine.open ? roomFor(job, machine) : null;
+    boolean spot = cluster.allowsSpot(job);
+    List<Machine> preferred = new ArrayList<>();
+    List<Machine> acceptable = new ArrayList<>();
+    List<Machine> lastResort = new ArrayList<>();
+    for (Machine machine : cluster.preferenceList(job.spec.bundle())) {
+      Room free = machine.open ? usableCapacity(job, machine) : null;
       if (free == null || !job.spec.room().fits(free)) {
         continue;
       }
       if (job.spec.daemon()) {
-        boolean spare = machine.leavesRoomForAZone(job.spec.room());
-        (!machine.hasDaemon() ? second : spare ? first : third).add(machine);
+        boolean leavesFailoverCapacity = machine.leavesRoomForAZone(job.spec.room());
+        (!machine.hasDaemon() ? acceptable : leavesFailoverCapacity ? preferred : lastResort)
+            .add(machine);
       } else if (spot) {
-        (machine.lendable ? first : machine.hasDaemon() ? third : second).add(machine);
+        (machine.lendable ? preferred : machine.hasDaemon() ? lastResort : acceptable).add(machine);
       } else {
-        first.add(machine);
+        preferred.add(machine);
       }
     }
-    first.addAll(second);
-    first.addAll(third);
-    return first;
+    preferred.addAll(acceptable);
+    preferred.addAll(lastResort);
+    return preferred;
   }
 
-  private boolean mayCrowd(JobRun job) {
+  private boolean mayStartConcurrentFetch(JobRun job) {
     return job.spec.rank() == Rank.PROD
         && job.waitingSince >= 0
-        && roundAt - job.waitingSince > Constants.CROWD_AFTER_MS;
+        && roundStartMs - job.waitingSince > Constants.CROWD_AFTER_MS;
   }
 
-  private int fill(JobRun job, Machine machine, int most, boolean buffered, long now) {
-    Room free = roomFor(job, machine);
+  private int fill(JobRun job, Machine machine, int maxTasks, boolean buffered, long now) {
+    Room free = usableCapacity(job, machine);
     if (free == null) {
       return 0;
     }
     if (buffered) {
-      Room extra = job.spec.room();
-      double part = world.env.random().nextDouble() * world.policy.buffer(job.spec);
+      Room perTask = job.spec.room();
+      double bufferFraction = cluster.env.random().nextDouble() * cluster.policy.buffer(job.spec);
       free =
           free.minus(
               new Room(
-                  (long) (extra.cpu() * part),
-                  (long) (extra.gpu() * part),
-                  (long) (extra.ram() * part)));
+                  (long) (perTask.cpu() * bufferFraction),
+                  (long) (perTask.gpu() * bufferFraction),
+                  (long) (perTask.ram() * bufferFraction)));
     }
-    int zone = job.spec.zoneMost() - job.perZone.getInt(machine.hall);
-    int n = job.spec.room().countIn(free, Math.min(most, zone));
-    if (n <= 0) {
+    int zoneLimit = job.spec.zoneMost() - job.perZone.getInt(machine.hall);
+    int fitting = job.spec.room().countIn(free, Math.min(maxTasks, zoneLimit));
+    if (fitting <= 0) {
       return 0;
     }
-    long attempt = world.nextAttempt(job.shard);
+    long attempt = cluster.nextAttempt(job.shard);
     int task = 0;
-    for (int i = 0; i < n; i++) {
+    for (int i = 0; i < fitting; i++) {
       task = job.nextWaiting(task);
-      Placement p = new Placement(job, task, machine, attempt, now);
-      job.place(p);
+      Placement placement = new Placement(job, task, machine, attempt, now);
+      job.place(placement);
       machine.idleSince = -1;
-      ledger.dirty(job, task, true);
-      LOG.debug("{} try {} placed on host {}", p.piece(), attempt, machine.host);
+      placementLog.dirty(job, task, true);
+      LOG.debug("{} try {} placed on host {}", placement.taskName(), attempt, machine.host);
     }
-    return n;
+    return fitting;
   }
 
   /** Replicas: the zone with the fewest of the job's tasks first, then the walk within the zone. */
@@ -441,9 +454,9 @@
             .distinct()
             .sorted(Comparator.comparingInt(job.perZone::getInt))
             .toList();
-    for (List<Machine> alike : groups) {
+    for (List<Machine> machineGroup : groups) {
       for (String zone : zones) {
-        for (Machine machine : alike) {
+        for (Machine machine : machineGroup) {
           if (machine.hall.equals(zone) && fill(job, machine, 1, false, now) == 1) {
             return true;
           }
@@ -454,17 +467,17 @@
   }
 
   /** Where the job's tasks are already, or the zone in which most of them find room. */
-  private String theZone(JobRun job, List<Machine> walk) {
+  private String commonZone(JobRun job, List<Machine> ordered) {
     for (Placement p : job.placed.values()) {
       return p.machine.hall;
     }
-    Map<String, Integer> room = new HashMap<>();
-    String best = walk.get(0).hall;
-    for (Machine machine : walk) {
-      Room free = roomFor(job, machine);
-      int n = free == null ? 0 : job.spec.room().countIn(free, job.spec.pieces());
-      room.merge(machine.hall, n, Integer::sum);
-      if (room.get(machine.hall) > room.getOrDefault(best, 0)) {
+    Map<String, Integer> tasksPerZone = new HashMap<>();
+    String best = ordered.get(0).hall;
+    for (Machine machine : ordered) {
+      Room free = usableCapacity(job, machine);
+      int tasksHere = free == null ? 0 : job.spec.room().countIn(free, job.spec.pieces());
+      tasksPerZone.merge(machine.hall, tasksHere, Integer::sum);
+      if (tasksPerZone.get(machine.hall) > tasksPerZone.getOrDefault(best, 0)) {
         best = machine.hall;
       }
     }
@@ -474,32 +487,40 @@
   // ---- preemption ----
 
   /** Stops lesser work where that lets waiting work start: the least lost work first. */
-  private void preempt(JobRun job, int need, Set<String> within, long now, Set<Machine> stopped) {
-    boolean guaranteed = within.contains(job.id);
-    long patience =
+  private void preempt(
+      JobRun job,
+      int tasksNeeded,
+      Set<String> guaranteedIds,
+      long now,
+      Set<Machine> machinesWithStops) {
+    boolean guaranteed = guaranteedIds.contains(job.id);
+    long minWaitMs =
         job.spec.rank() == Rank.PROD ? Constants.PREEMPT_AFTER_MS : Constants.GUARANTEE_AFTER_MS;
-    if (now - job.waitingSince < patience
+    if (now - job.waitingSince < minWaitMs
         || now < job.nextPreempt
         || (job.spec.rank() != Rank.PROD && !guaranteed)) {
       return;
     }
-    job.nextPreempt = now + (job.spec.rank() == Rank.PROD ? patience : Constants.PREEMPT_PAUSE_MS);
-    claims.release(job);
+    job.nextPreempt = now + (job.spec.rank() == Rank.PROD ? minWaitMs : Constants.PREEMPT_PAUSE_MS);
+    reservations.release(job);
     if (job.spec.spread() && job.spec.pieces() > 1) {
       // Room in a zone that has its part of the job already is no room for it.
-      int left = need;
-      for (String zone : zonesOf(job)) {
-        int most = Math.min(left, job.spec.zoneMost() - job.perZone.getInt(zone));
-        left -= most <= 0 ? 0 : preemptIn(zone, job, most, guaranteed, within, stopped);
+      int remaining = tasksNeeded;
+      for (String zone : zonesByTaskCount(job)) {
+        int maxTasks = Math.min(remaining, job.spec.zoneMost() - job.perZone.getInt(zone));
+        remaining -=
+            maxTasks <= 0
+                ? 0
+                : preemptIn(zone, job, maxTasks, guaranteed, guaranteedIds, machinesWithStops);
       }
     } else {
-      preemptIn(null, job, need, guaranteed, within, stopped);
+      preemptIn(null, job, tasksNeeded, guaranteed, guaranteedIds, machinesWithStops);
     }
   }
 
   /** Zones that have machines, those with the fewest tasks of a job first. */
-  private List<String> zonesOf(JobRun job) {
-    return world.types.values().stream()
+  private List<String> zonesByTaskCount(JobRun job) {
+    return cluster.machineTypes.values().stream()
         .flatMap(type -> type.halls().stream())
         .distinct()
         .sorted(Comparator.comparingInt(job.perZone::getInt))
@@ -510,37 +531,41 @@
   private int preemptIn(
       String zone,
       JobRun job,
-      int need,
+      int tasksNeeded,
       boolean guaranteed,
-      Set<String> within,
-      Set<Machine> stopped) {
+      Set<String> guaranteedIds,
+      Set<Machine> machinesWithStops) {
     // Of thousands that could be, the few that are needed: the worst of those kept is on top.
     PriorityQueue<Eviction> evictions =
         new PriorityQueue<>(Comparator.comparingLong(eviction -> -eviction.cost));
-    int left = need;
-    for (Machine machine : world.machines.values()) {
-      if (left > 0 && (zone == null || machine.hall.equals(zone)) && suits(job, machine)) {
-        left -= evictions(job, machine, guaranteed, within, roundAt, left, evictions);
+    int remaining = tasksNeeded;
+    for (Machine machine : cluster.machines.values()) {
+      if (remaining > 0
+          && (zone == null || machine.hall.equals(zone))
+          && isSuitable(job, machine)) {
+        remaining -=
+            addEvictions(
+                job, machine, guaranteed, guaranteedIds, roundStartMs, remaining, evictions);
       }
     }
-    while (evictions.size() > Math.max(0, left)) {
+    while (evictions.size() > Math.max(0, remaining)) {
       evictions.poll();
     }
     for (Eviction eviction : evictions) {
       for (Placement p : eviction.victims) {
         LOG.info(
             "{} on host {} is stopped to make room for job {} ({})",
-            p.piece(),
+            p.taskName(),
             p.machine.host,
             job.id,
             guaranteed ? "guarantee" : "rank");
         p.job.halt(p);
-        world.figures.count(Figures.Event.PREEMPTION);
-        stopped.add(p.machine);
+        cluster.metrics.count(Figures.Event.PREEMPTION);
+        machinesWithStops.add(p.machine);
       }
-      claims.claim(job, eviction.victims.get(0).machine, 1);
+      reservations.reserve(job, eviction.victims.get(0).machine, 1);
     }
-    return need - Math.max(0, left) + evictions.size();
+    return tasksNeeded - Math.max(0, remaining) + evictions.size();
   }
 
   /**
@@ -555,95 +580,97 @@
    * that where the image is, as a fetch makes one wait for longer than any work that yields to it
    * takes to be redone; then what is lost.
    */
-  private static long cost(JobRun job, Rank rank, boolean warm, long lostMs) {
-    long byRank = Rank.values().length - 1 - rank.ordinal();
-    long byWarmth = warm ? 0 : 1;
+  private static long cost(JobRun job, Rank rank, boolean hasImage, long lostMs) {
+    long rankPenalty = Rank.values().length - 1 - rank.ordinal();
+    long imagePenalty = hasImage ? 0 : 1;
     long order =
-        job.spec.daemon() ? byWarmth * Rank.values().length + byRank : 2 * byRank + byWarmth;
-    return (order << LOST_BITS) + Math.min(lostMs, (1L << LOST_BITS) - 1);
+        job.spec.daemon()
+            ? imagePenalty * Rank.values().length + rankPenalty
+            : 2 * rankPenalty + imagePenalty;
+    return (order << LOST_WORK_BITS) + Math.min(lostMs, (1L << LOST_WORK_BITS) - 1);
   }
 
   /** Milliseconds of work lost that a comparison tells apart: some years. */
-  private static final int LOST_BITS = 40;
+  private static final int LOST_WORK_BITS = 40;
 
   /**
    * Adds what stopping work on a machine can do for a job, task by task, the least loss first.
    * Returns how many tasks of it have room there without that. Of all, {@code most} are kept.
    */
-  private int evictions(
+  private int addEvictions(
       JobRun job,
       Machine machine,
       boolean guaranteed,
-      Set<String> within,
+      Set<String> guaranteedIds,
       long now,
-      int most,
-      PriorityQueue<Eviction> into) {
-    Warmth warmth = machine.warmth(job.spec.bundle());
-    if (warmth == Warmth.CROWDED && !mayCrowd(job)) {
+      int maxTasks,
+      PriorityQueue<Eviction> bestEvictions) {
+    Warmth imageState = machine.warmth(job.spec.bundle());
+    if (imageState == Warmth.CROWDED && !mayStartConcurrentFetch(job)) {
       return 0;
     }
-    Room room = job.spec.room();
-    Room free = freeFor(job, machine).minus(claims.on(machine));
+    Room taskResources = job.spec.room();
+    Room free = freeCapacity(job, machine).minus(reservations.reservedOn(machine));
     List<Placement> victims = new ArrayList<>();
     for (Placement p : machine.placed.values()) {
-      if (p.stop) {
+      if (p.stopRequested) {
         free = free.plus(p.job.spec.room());
-      } else if (mayStop(job, guaranteed, p, within, now)) {
+      } else if (mayPreempt(job, guaranteed, p, guaranteedIds, now)) {
         victims.add(p);
       }
     }
-    int coming = Math.max(0, room.countIn(free, Constants.MAX_PIECES));
-    claims.claim(job, machine, Math.min(coming, most));
+    int fittingTasks = Math.max(0, taskResources.countIn(free, Constants.MAX_PIECES));
+    reservations.reserve(job, machine, Math.min(fittingTasks, maxTasks));
     if (victims.isEmpty()) {
-      return coming;
+      return fittingTasks;
     }
-    victims.forEach(p -> p.cost = cost(job, p.job.spec.rank(), true, lost(p, now)));
-    victims.sort(Comparator.comparingLong(p -> p.cost));
-    free = free.minus(room.times(coming));
-    List<Placement> together = new ArrayList<>();
-    long lost = 0;
+    victims.forEach(p -> p.preemptionCost = cost(job, p.job.spec.rank(), true, lostWorkMs(p, now)));
+    victims.sort(Comparator.comparingLong(p -> p.preemptionCost));
+    free = free.minus(taskResources.times(fittingTasks));
+    List<Placement> victimGroup = new ArrayList<>();
+    long totalLostMs = 0;
     for (Placement p : victims) {
-      together.add(p);
-      lost += lost(p, now);
+      victimGroup.add(p);
+      totalLostMs += lostWorkMs(p, now);
       free = free.plus(p.job.spec.room());
-      if (room.fits(free)) {
-        long cost = cost(job, p.job.spec.rank(), warmth == Warmth.WARM, lost);
-        if (into.size() < most || cost < into.peek().cost) {
-          into.add(new Eviction(List.copyOf(together), cost));
-          if (into.size() > most) {
-            into.poll();
+      if (taskResources.fits(free)) {
+        long cost = cost(job, p.job.spec.rank(), imageState == Warmth.WARM, totalLostMs);
+        if (bestEvictions.size() < maxTasks || cost < bestEvictions.peek().cost) {
+          bestEvictions.add(new Eviction(List.copyOf(victimGroup), cost));
+          if (bestEvictions.size() > maxTasks) {
+            bestEvictions.poll();
           }
         }
-        free = free.minus(room);
-        together.clear();
+        free = free.minus(taskResources);
+        victimGroup.clear();
       }
     }
-    return coming;
+    return fittingTasks;
   }
 
-  private boolean mayStop(
-      JobRun job, boolean guaranteed, Placement p, Set<String> within, long now) {
-    JobSpec theirs = p.job.spec;
-    if (theirs.rank() == Rank.PROD || theirs.daemon()) {
+  private boolean mayPreempt(
+      JobRun job, boolean guaranteed, Placement p, Set<String> guaranteedIds, long now) {
+    JobSpec victimSpec = p.job.spec;
+    if (victimSpec.rank() == Rank.PROD || victimSpec.daemon()) {
       return false;
     }
     if (job.spec.rank() == Rank.PROD) {
-      return theirs.rank().compareTo(job.spec.rank()) > 0;
+      return victimSpec.rank().compareTo(job.spec.rank()) > 0;
     }
     return guaranteed
-        && !theirs.owner().equals(job.spec.owner())
-        && !within.contains(p.job.id)
-        && (saves(p)
-            ? theirs.flushS() <= Constants.PREEMPT_SAVE_S
-            : lost(p, now) <= world.preemptLossMs(p.job));
+        && !victimSpec.owner().equals(job.spec.owner())
+        && !guaranteedIds.contains(p.job.id)
+        && (canSaveState(p)
+            ? victimSpec.flushS() <= Constants.PREEMPT_SAVE_S
+            : lostWorkMs(p, now) <= cluster.preemptLossMs(p.job));
   }
 
-  private static boolean saves(Placement p) {
+  private static boolean canSaveState(Placement p) {
     return p.job.spec.snapshotS() > 0;
   }
 
   /** Milliseconds of work that stopping a task now costs; one that saves loses only its saving. */
-  private static long lost(Placement p, long now) {
-    return saves(p) ? (long) (p.job.spec.flushS() * 1000) : now - p.sinceMs;
+  private static long lostWorkMs(Placement p, long now) {
+    return canSaveState(p) ? (long) (p.job.spec.flushS() * 1000) : now - p.placedAtMs;
   }
 }
--- a/src/main/java/dunlincroft/coordination/ShardLog.java
+++ b/src/main/java/dunlincroft/coordination/ShardLog.java
@@ -58,10 +58,10 @@
   private Slot current;
   private long number;
 
-  ShardLog(World world, String shard) {
+  ShardLog(ClusterState world, String shard) {
     this.shard = shard;
-    this.heldSince = world.held.getLong(shard);
-    this.number = world.index.lastNumber(shard);
+    this.heldSince = world.ownedShards.getLong(shard);
+    this.number = world.jobIndex.lastNumber(shard);
     this.settled = number;
     world
         .replica
--- a/src/main/java/dunlincroft/coordination/ShareHandover.java
+++ b/src/main/java/dunlincroft/coordination/ShareHandover.java
@@ -40,23 +40,23 @@
           .thenComparing(job -> job.spec.ref());
 
   /** What was last seen of a team's record: who gives second waits for the first. */
-  private record Seen(long stamp, long sinceMs) {}
+  private record ObservedStamp(long stamp, long sinceMs) {}
 
-  private final World world;
+  private final ClusterState cluster;
   private final Demand demand;
   private final HandoverWriter writer;
-  private final ClaimHistory history;
-  private final Map<String, Seen> seen = new HashMap<>();
-  private long nextWrite;
+  private final ReservationHistory history;
+  private final Map<String, ObservedStamp> observedStamps = new HashMap<>();
+  private long nextWriteMs;
 
   /** The team that is looked at first. */
   private int firstTeam;
 
-  ShareHandover(World world, Demand demand, HandoverWriter writer) {
-    this.world = world;
+  ShareHandover(ClusterState cluster, Demand demand, HandoverWriter writer) {
+    this.cluster = cluster;
     this.demand = demand;
     this.writer = writer;
-    this.history = new ClaimHistory(world);
+    this.history = new ReservationHistory(cluster);
   }
 
   /**
@@ -64,163 +64,167 @@
    *
    * @param owners how many nodes share the bound on changes
    */
-  void tick(int owners, RecordedRoom room) {
-    List<Settings.Team> teams = List.copyOf(world.settings.teams().values());
-    Map<String, List<JobIndex.Job>> waiting = waiting();
-    history.keep(waiting.values());
+  void tick(int owners, RecordedCapacity capacity) {
+    List<Settings.Team> teams = List.copyOf(cluster.settings.teams().values());
+    Map<String, List<JobIndex.Job>> waitingJobs = waitingByTeam();
+    history.retainWaiting(waitingJobs.values());
     for (int i = 0; i < teams.size(); i++) {
-      int number = (firstTeam + i) % teams.size();
-      Settings.Team team = teams.get(number);
-      Item item = world.replica.get(Replica.SHARES, team.name());
+      int teamIndex = (firstTeam + i) % teams.size();
+      Settings.Team team = teams.get(teamIndex);
+      Item item = cluster.replica.get(Replica.SHARES, team.name());
       if (item == null) {
         continue;
       }
-      List<Transfer> gifts =
-          ours(team.name(), item, waiting.getOrDefault(team.name(), List.of()), room);
-      if (!gifts.isEmpty() && world.now() >= nextWrite) {
-        nextWrite = world.now() + (long) owners * Constants.SHARES_MS;
-        firstTeam = number + 1;
-        give(team.name(), item, gifts);
+      List<Transfer> ownTransfers =
+          transfersFromOwnShard(
+              team.name(), item, waitingJobs.getOrDefault(team.name(), List.of()), capacity);
+      if (!ownTransfers.isEmpty() && cluster.now() >= nextWriteMs) {
+        nextWriteMs = cluster.now() + (long) owners * Constants.SHARES_MS;
+        firstTeam = teamIndex + 1;
+        writeTransfers(team.name(), item, ownTransfers);
       }
     }
   }
 
   /** Jobs with tasks that wait, by team, in the order in which they are served. */
-  private Map<String, List<JobIndex.Job>> waiting() {
-    Map<String, List<JobIndex.Job>> waiting = new HashMap<>();
-    for (JobIndex.Job job : world.index.all().values()) {
+  private Map<String, List<JobIndex.Job>> waitingByTeam() {
+    Map<String, List<JobIndex.Job>> waitingJobs = new HashMap<>();
+    for (JobIndex.Job job : cluster.jobIndex.all().values()) {
       if (job.wanted() > job.placed()
-          && !demand.cancelled(job.spec)
-          && world.wanted(job.spec)
-          && world.replica.get(Replica.SHARDS, job.shard) != null) {
-        waiting.computeIfAbsent(job.spec.owner(), team -> new ArrayList<>()).add(job);
+          && !demand.isCancelled(job.spec)
+          && cluster.needsMachines(job.spec)
+          && cluster.replica.get(Replica.SHARDS, job.shard) != null) {
+        waitingJobs.computeIfAbsent(job.spec.owner(), team -> new ArrayList<>()).add(job);
       }
     }
-    waiting.values().forEach(jobs -> jobs.sort(ORDER));
-    return waiting;
+    waitingJobs.values().forEach(jobs -> jobs.sort(ORDER));
+    return waitingJobs;
   }
 
   // ---- the plan ----
 
   /** What the plan wants of one of our shards now. */
-  private List<Transfer> ours(
-      String team, Item item, List<JobIndex.Job> waiting, RecordedRoom room) {
-    Map<String, Room> parts = parts(item.data());
-    if (parts.size() < 2 && waiting.stream().allMatch(job -> parts.containsKey(job.shard))) {
+  private List<Transfer> transfersFromOwnShard(
+      String team, Item item, List<JobIndex.Job> waitingJobs, RecordedCapacity capacity) {
+    Map<String, Room> shares = recordedShares(item.data());
+    if (shares.size() < 2 && waitingJobs.stream().allMatch(job -> shares.containsKey(job.shard))) {
       return List.of();
     }
-    Map<String, Room> work = demand.byShardOf(team);
-    Map<String, Room> used = used(team, parts.keySet());
-    work.keySet().removeIf(shard -> world.replica.get(Replica.SHARDS, shard) == null);
-    List<ShareRequest> claims = claims(waiting, parts, used, room);
-    List<Transfer> plan = SharePlan.transfers(parts, used, work, claims);
-    List<String> givers = plan.stream().map(Transfer::from).distinct().toList();
-    Seen last = seen.get(team);
-    if (last == null || last.stamp != item.stamp()) {
-      last = new Seen(item.stamp(), world.now());
-      seen.put(team, last);
+    Map<String, Room> openWork = demand.resourcesByShard(team);
+    Map<String, Room> usage = usageByShard(team, shares.keySet());
+    openWork.keySet().removeIf(shard -> cluster.replica.get(Replica.SHARDS, shard) == null);
+    List<ShareRequest> claims = claims(waitingJobs, shares, usage, capacity);
+    List<Transfer> plan = SharePlan.transfers(shares, usage, openWork, claims);
+    List<String> donors = plan.stream().map(Transfer::from).distinct().toList();
+    ObservedStamp observed = observedStamps.get(team);
+    if (observed == null || observed.stamp != item.stamp()) {
+      observed = new ObservedStamp(item.stamp(), cluster.now());
+      observedStamps.put(team, observed);
     }
-    for (int turn = 0; turn < givers.size(); turn++) {
-      String from = givers.get(turn);
-      boolean due = world.now() - last.sinceMs >= (long) turn * Constants.SHARES_TURN_MS;
-      if (due && world.holds(from) && !world.giving.containsKey(givingKey(team, from))) {
+    for (int donorIndex = 0; donorIndex < donors.size(); donorIndex++) {
+      String from = donors.get(donorIndex);
+      boolean due =
+          cluster.now() - observed.sinceMs >= (long) donorIndex * Constants.SHARES_TURN_MS;
+      if (due
+          && cluster.owns(from)
+          && !cluster.outgoingShares.containsKey(outgoingKey(team, from))) {
         return plan.stream().filter(transfer -> transfer.from().equals(from)).toList();
       }
     }
     return List.of();
   }
 
-  private static Map<String, Room> parts(JsonNode record) {
-    Map<String, Room> parts = new TreeMap<>();
+  private static Map<String, Room> recordedShares(JsonNode record) {
+    Map<String, Room> shares = new TreeMap<>();
     record
         .fieldNames()
         .forEachRemaining(
             shard -> {
-              Room part = World.shareOf(record, shard);
-              if (part.cpu() > 0 || part.gpu() > 0) {
-                parts.put(shard, part);
+              Room share = ClusterState.recordedShare(record, shard);
+              if (share.cpu() > 0 || share.gpu() > 0) {
+                shares.put(shard, share);
               }
             });
-    return parts;
+    return shares;
   }
 
   /** Of our own shards we know also what is not recorded yet; of others what is recorded. */
-  private Map<String, Room> used(String team, Set<String> shards) {
-    Map<String, Room> used = new HashMap<>();
-    for (JobIndex.Job job : world.index.all().values()) {
-      if (job.spec.owner().equals(team) && !world.holds(job.shard)) {
-        used.merge(job.shard, job.spec.room().times(job.placed()), Room::plus);
+  private Map<String, Room> usageByShard(String team, Set<String> shards) {
+    Map<String, Room> usage = new HashMap<>();
+    for (JobIndex.Job job : cluster.jobIndex.all().values()) {
+      if (job.spec.owner().equals(team) && !cluster.owns(job.shard)) {
+        usage.merge(job.shard, job.spec.room().times(job.placed()), Room::plus);
       }
     }
     for (String shard : shards) {
-      if (world.holds(shard)) {
-        used.put(shard, world.used(team, shard));
+      if (cluster.owns(shard)) {
+        usage.put(shard, cluster.teamUsage(team, shard));
       }
     }
-    return used;
+    return usage;
   }
 
   /** Waiting tasks that machines of their shard have room for, as far as is known. */
   private List<ShareRequest> claims(
-      List<JobIndex.Job> waiting,
-      Map<String, Room> parts,
-      Map<String, Room> used,
-      RecordedRoom room) {
+      List<JobIndex.Job> waitingJobs,
+      Map<String, Room> shares,
+      Map<String, Room> usage,
+      RecordedCapacity capacity) {
     List<ShareRequest> claims = new ArrayList<>();
-    for (JobIndex.Job job : waiting) {
+    for (JobIndex.Job job : waitingJobs) {
       if (claims.size() == Constants.CLAIMS_LOOKED_AT) {
         break;
       }
-      int waits = job.wanted() - job.placed();
-      int most = Math.min(waits, Constants.CLAIM_TASKS);
-      int tasks = room.countFor(job, job.shard, most);
+      int waitingTasks = job.wanted() - job.placed();
+      int maxTasks = Math.min(waitingTasks, Constants.CLAIM_TASKS);
+      int tasks = capacity.countFitting(job, job.shard, maxTasks);
       Room unused =
-          parts.getOrDefault(job.shard, Room.NONE).minus(used.getOrDefault(job.shard, Room.NONE));
-      boolean served = tasks > 0 && job.spec.room().countIn(limited(unused), 1) > 0;
-      if (tasks > 0 && !history.isPassedOver(job, served)) {
-        claims.add(new ShareRequest(job.shard, limited(job.spec.room()), tasks));
+          shares.getOrDefault(job.shard, Room.NONE).minus(usage.getOrDefault(job.shard, Room.NONE));
+      boolean canStart = tasks > 0 && job.spec.room().countIn(withoutMemory(unused), 1) > 0;
+      if (tasks > 0 && !history.isDeferred(job, canStart)) {
+        claims.add(new ShareRequest(job.shard, withoutMemory(job.spec.room()), tasks));
       }
     }
     return claims;
   }
 
-  private static Room limited(Room room) {
-    return new Room(room.cpu(), room.gpu(), 0);
+  private static Room withoutMemory(Room resources) {
+    return new Room(resources.cpu(), resources.gpu(), 0);
   }
 
   // ---- the change ----
 
-  private static String givingKey(String team, String shard) {
+  private static String outgoingKey(String team, String shard) {
     return team + "/" + shard;
   }
 
   /** Writes what one shard gives of a team's limit. */
-  private void give(String team, Item item, List<Transfer> gifts) {
-    String from = gifts.get(0).from();
+  private void writeTransfers(String team, Item item, List<Transfer> ownTransfers) {
+    String from = ownTransfers.get(0).from();
     String key = Wire.key(Replica.SHARES, team);
-    ObjectNode parts = ((ObjectNode) item.data()).deepCopy();
-    Room all = Room.NONE;
-    Set<String> to = new HashSet<>();
-    for (Transfer gift : gifts) {
-      add(parts, gift.to(), gift.amount());
-      all = all.plus(gift.amount());
-      to.add(gift.to());
+    ObjectNode newRecord = ((ObjectNode) item.data()).deepCopy();
+    Room total = Room.NONE;
+    Set<String> recipients = new HashSet<>();
+    for (Transfer ownTransfer : ownTransfers) {
+      addToShare(newRecord, ownTransfer.to(), ownTransfer.amount());
+      total = total.plus(ownTransfer.amount());
+      recipients.add(ownTransfer.to());
     }
-    add(parts, from, Room.NONE.minus(all));
-    world.giving.put(givingKey(team, from), all);
+    addToShare(newRecord, from, Room.NONE.minus(total));
+    cluster.outgoingShares.put(outgoingKey(team, from), total);
     Txn txn =
         new Txn()
-            .guard(Wire.key(Replica.SHARDS, from), world.held.getLong(from))
+            .guard(Wire.key(Replica.SHARDS, from), cluster.ownedShards.getLong(from))
             .guard(key, item.stamp())
-            .put(key, parts);
+            .put(key, newRecord);
     writer.commit(
         txn,
-        all + " of team " + team + " from shard " + from + " to " + to,
-        () -> world.giving.remove(givingKey(team, from)));
+        total + " of team " + team + " from shard " + from + " to " + recipients,
+        () -> cluster.outgoingShares.remove(outgoingKey(team, from)));
   }
 
-  private static void add(ObjectNode parts, String shard, Room room) {
-    Room sum = World.shareOf(parts, shard).plus(room);
-    parts.putObject(shard).put("cpu", sum.cpu()).put("gpu", sum.gpu());
+  private static void addToShare(ObjectNode sharesRecord, String shard, Room resources) {
+    Room sum = ClusterState.recordedShare(sharesRecord, shard).plus(resources);
+    sharesRecord.putObject(shard).put("cpu", sum.cpu()).put("gpu", sum.gpu());
   }
 }
--- a/src/main/java/dunlincroft/coordination/StandIn.java
+++ b/src/main/java/dunlincroft/coordination/StandIn.java
@@ -27,13 +27,13 @@
  * writes its block anew.
  */
 final class StandIn {
-  private final World world;
+  private final ClusterState world;
   private final Membership members;
 
   /** Jobs that others told us are cancelled, and when, until we have read the records since. */
   private final Map<String, Long> cancelled = new HashMap<>();
 
-  StandIn(World world, Membership members) {
+  StandIn(ClusterState world, Membership members) {
     this.world = world;
     this.members = members;
   }
@@ -52,7 +52,7 @@
     String shard = block.record().shard();
     long recorded = Math.max(block.stamp(), world.replica.stamp(Replica.SHARDS, shard));
     boolean nobodyElse = report.fence() > recorded || !members.isOwnerAlive(shard);
-    return nobodyElse && members.cancellationLagMs() <= world.cutMs();
+    return nobodyElse && members.cancellationLagMs() <= world.maxCancellationLagMs();
   }
 
   /**
@@ -79,7 +79,7 @@
             .limit(Constants.MAX_ORDERS)
             .map(piece -> Order.kill(piece.id(), piece.attempt(), 0))
             .toList();
-    world.figures.count(Figures.Event.STOOD_IN);
+    world.metrics.count(Figures.Event.STOOD_IN);
     return Order.body(Math.max(report.fence(), members.highestCancellationRevision()), orders);
   }
 
--- /dev/null
+++ b/src/main/java/dunlincroft/coordination/StartConditions.java
@@ -0,0 +1,127 @@
+package dunlincroft.coordination;
+
+import dunlincroft.Constants;
+import dunlincroft.conditions.Condition.End;
+import dunlincroft.conditions.Ruling;
+import dunlincroft.protocol.Wire;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Holds jobs to what conditions say of them: when their tasks may start, what a start is guarded
+ * by, and when they must be gone. Without an active condition it does nothing.
+ */
+final class StartConditions {
+  private final ClusterState cluster;
+
+  StartConditions(ClusterState cluster) {
+    this.cluster = cluster;
+  }
+
+  /** Whether a job may start tasks now. Starts that an older state allowed are taken back. */
+  boolean mayStart(JobRun job) {
+    if (!cluster.conditions.active()) {
+      return true;
+    }
+    Ruling decision = cluster.conditions.on(job.spec);
+    if (!decision.guards().equals(job.guards)) {
+      job.haltUnrecorded();
+      job.guards = decision.guards();
+    }
+    job.endsByMs = decision.endsByMs();
+    job.strict = decision.strict();
+    job.sides = decision.sides();
+    return decision.start();
+  }
+
+  /** Whether what a job's starts were decided by still holds, as far as we know. */
+  boolean guardsHold(JobRun job) {
+    for (Map.Entry<String, Long> guard : job.guards.entrySet()) {
+      if (cluster.replica.stampOf(guard.getKey()) != guard.getValue()) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  /**
+   * Moves one replica of a service to its side: one at a time, while all others run and there is
+   * room for it where it goes. A task can be on one machine only, so it is away for as long as it
+   * takes to start. Tasks of arrays end where they are. What has not begun yet moves at once.
+   */
+  private int moveOneReplica(JobRun job, Set<Machine> machinesWithStops) {
+    Placement candidate = null;
+    boolean allRunning = job.waiting() == 0;
+    for (Placement p : job.placed.values()) {
+      boolean running = Wire.RUNNING.equals(p.reportedStatus) && !p.stopRequested;
+      allRunning &= running;
+      if (!p.stopRequested && !job.onItsSide(p)) {
+        if (!running) {
+          job.halt(p);
+          machinesWithStops.add(p.machine);
+          return 1;
+        }
+        candidate = candidate == null ? p : candidate;
+      }
+    }
+    if (candidate == null
+        || !allRunning
+        || !job.spec.daemon()
+        || !hasCapacityToMove(job, candidate)) {
+      return 0;
+    }
+    job.halt(candidate);
+    machinesWithStops.add(candidate.machine);
+    return 1;
+  }
+
+  private boolean hasCapacityToMove(JobRun job, Placement p) {
+    job.seek(job.sides.of(p.task));
+    boolean found = false;
+    for (Machine machine : cluster.machines.values()) {
+      boolean zoneAllowed =
+          machine.hall.equals(p.machine.hall)
+              || job.perZone.getInt(machine.hall) < job.spec.zoneMost();
+      found |=
+          zoneAllowed
+              && cluster.isUsable(machine)
+              && cluster.allows(job, machine)
+              && job.seeks(machine)
+              && job.spec.room().fits(machine.free());
+    }
+    job.seek(-1);
+    return found;
+  }
+
+  /**
+   * Ends what is over: tasks that have not begun never do, those that run are stopped as their
+   * condition wants. Returns machines that have new orders.
+   */
+  Set<Machine> stopEnded() {
+    Set<Machine> machinesWithStops = new LinkedHashSet<>();
+    if (!cluster.conditions.active()) {
+      return machinesWithStops;
+    }
+    int movesLeft = Constants.MOVES_AT_ONCE;
+    for (JobRun job : cluster.jobs.values()) {
+      if (!job.placed.isEmpty() && mayStart(job) && job.sides != null && movesLeft > 0) {
+        movesLeft -= moveOneReplica(job, machinesWithStops);
+      }
+      End end = job.placed.isEmpty() ? null : cluster.conditions.end(job.spec);
+      job.endedBy(end);
+      if (end == null || job.cancelled) {
+        continue;
+      }
+      for (Placement p : job.placed.values()) {
+        boolean started =
+            Wire.RUNNING.equals(p.reportedStatus) || Wire.SAVING.equals(p.reportedStatus);
+        if (!p.stopRequested && (!started || end != End.FINISH)) {
+          job.halt(p);
+          machinesWithStops.add(p.machine);
+        }
+      }
+    }
+    return machinesWithStops;
+  }
+}
--- a/src/main/java/dunlincroft/coordination/Supply.java
+++ b/src/main/java/dunlincroft/coordination/Supply.java
@@ -21,7 +21,7 @@
   /** The name of the record of all machine types. */
   private static final String ALL = "all";
 
-  private final World world;
+  private final ClusterState world;
   private final Membership members;
   private final Ledger ledger;
   private final Cloud cloud;
@@ -37,7 +37,7 @@
   private List<String> silentMachines = List.of();
 
   Supply(
-      World world,
+      ClusterState world,
       Membership members,
       WorkerProtocol workers,
       Ledger ledger,
@@ -50,7 +50,7 @@
     this.cloud = cloud;
     this.discovery = discovery;
     this.list = new MachineList(world, members, workers.probe, cloud, discovery);
-    ZoneWatch zones = new ZoneWatch(world, members);
+    ZoneOutageDetector zones = new ZoneOutageDetector(world, members);
     this.renting = new Renting(world, members, cloud, demand, discovery, zones);
     this.consolidation = new Consolidation(world, workers.commands, demand, renting);
     this.releaser =
@@ -64,14 +64,14 @@
   void typesTick() {
     if (members.isLeader()
         && !recordingTypes
-        && !world.types.isEmpty()
+        && !world.machineTypes.isEmpty()
         && world.replica.get(Replica.TYPES, ALL) == null) {
       recordTypes();
     }
-    if (world.now() < nextTypes || (!members.isLeader() && !world.types.isEmpty())) {
+    if (world.now() < nextTypes || (!members.isLeader() && !world.machineTypes.isEmpty())) {
       return;
     }
-    nextTypes = world.now() + (world.types.isEmpty() ? 2000 : Constants.TYPES_MS);
+    nextTypes = world.now() + (world.machineTypes.isEmpty() ? 2000 : Constants.TYPES_MS);
     cloud.call(
         false,
         "GET",
@@ -79,14 +79,14 @@
         null,
         (status, body) -> {
           List<MachineType> types =
-              status == 200 && body != null ? World.parseTypes(body) : List.of();
+              status == 200 && body != null ? ClusterState.parseMachineTypes(body) : List.of();
           if (types.isEmpty()) {
             LOG.info("machine types not to be had: {}", status);
             nextTypes = world.now() + 2000;
             return;
           }
-          boolean first = world.types.isEmpty();
-          world.types(types);
+          boolean first = world.machineTypes.isEmpty();
+          world.setMachineTypes(types);
           if (members.isLeader() && first) {
             recordTypes();
           }
@@ -105,7 +105,7 @@
             .guardAsLeader(new Txn())
             .put(
                 Wire.key(Replica.TYPES, ALL),
-                MachineType.toNode(List.copyOf(world.types.values()))),
+                MachineType.toNode(List.copyOf(world.machineTypes.values()))),
         result -> {
           recordingTypes = false;
           LOG.debug("types recorded: {}", result.outcome());
@@ -118,7 +118,7 @@
     discovery.tick();
     recordShares();
     list.tick();
-    if (!world.types.isEmpty() && world.feed.silentMs() < Constants.STALE_MS) {
+    if (!world.machineTypes.isEmpty() && world.feed.silentMs() < Constants.STALE_MS) {
       renting.tick();
       renting.helpReplicas();
       renting.helpStarved();
@@ -176,7 +176,7 @@
     silentMachines = renting.silentMachines();
     renting.hearOthers();
     cloud.rate(world.settings.cloudRps() * cloudPart());
-    if (world.feed.silentMs() > Constants.STALE_MS || world.held.isEmpty()) {
+    if (world.feed.silentMs() > Constants.STALE_MS || world.ownedShards.isEmpty()) {
       return;
     }
     releaser.tick();
@@ -190,7 +190,7 @@
    */
   private double cloudPart() {
     List<String> holders = members.leasedShards();
-    long ours = holders.stream().filter(world::holds).count();
+    long ours = holders.stream().filter(world::owns).count();
     if (members.isLeader()) {
       return ours == holders.size() ? Constants.CLOUD_ALL_PART : Constants.CLOUD_HALF_PART;
     }
--- a/src/main/java/dunlincroft/coordination/WorkerOrders.java
+++ b/src/main/java/dunlincroft/coordination/WorkerOrders.java
@@ -17,13 +17,13 @@
 final class WorkerOrders {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerOrders.class);
 
-  private final World world;
+  private final ClusterState world;
   private final FenceRaiser fences;
 
   /** Sends a machine's orders straight away, once starts that waited may leave. */
   private Consumer<Machine> push = machine -> {};
 
-  WorkerOrders(World world, FenceRaiser fences) {
+  WorkerOrders(ClusterState world, FenceRaiser fences) {
     this.world = world;
     this.fences = fences;
   }
@@ -44,10 +44,10 @@
       Placement p = machine.placed.get(piece.id());
       if (p != null && p.attempt == piece.attempt()) {
         wantsProof |= piece.exited();
-        if (p.stop && !piece.exited()) {
+        if (p.stopRequested && !piece.exited()) {
           boolean again = piece.status().equals(Wire.SAVING);
           if (!again || p.job.stopMode() == JobRun.StopMode.ABANDON) {
-            orders.add(Order.kill(piece.id(), piece.attempt(), again ? 0 : p.windDownS()));
+            orders.add(Order.kill(piece.id(), piece.attempt(), again ? 0 : p.stopGraceS()));
           }
         }
         continue;
@@ -70,8 +70,8 @@
       }
     }
     for (Placement p : machine.placed.values()) {
-      if (p.recorded && !p.shown) {
-        if (!p.stop) {
+      if (p.recorded && !p.inLastReport) {
+        if (!p.stopRequested) {
           if (world.feed.silentMs() > Constants.STALE_MS) {
             continue; // Out of touch: what runs goes on, nothing starts.
           }
@@ -83,8 +83,8 @@
           if (p.job.strict && (direct || world.conditions.end(p.job.spec) != null)) {
             continue;
           }
-          p.sent = true;
-          orders.add(Order.run(p.piece(), p.attempt));
+          p.orderSent = true;
+          orders.add(Order.run(p.taskName(), p.attempt));
         } else {
           wantsProof |= !proven;
         }
@@ -116,7 +116,7 @@
   private boolean unsettled(Piece piece) {
     JobRun job = world.jobs.get(piece.job());
     if (job == null) {
-      return world.index.get(piece.job()) != null;
+      return world.jobIndex.get(piece.job()) != null;
     }
     return piece.task() >= job.spec.pieces() || !job.record.clean(piece.task());
   }
--- a/src/main/java/dunlincroft/coordination/WorkerProtocol.java
+++ b/src/main/java/dunlincroft/coordination/WorkerProtocol.java
@@ -8,7 +8,7 @@
   final HeartbeatHandler heartbeats;
   final FenceRaiser fences;
 
-  WorkerProtocol(World world, Ledger ledger) {
+  WorkerProtocol(ClusterState world, Ledger ledger) {
     fences = new FenceRaiser(world);
     WorkerOrders orders = new WorkerOrders(world, fences);
     reports = new ReportHandler(world, ledger, new FaultAttribution(world, ledger));
--- a/src/main/java/dunlincroft/front/HttpFront.java
+++ b/src/main/java/dunlincroft/front/HttpFront.java
@@ -23,7 +23,7 @@
 
   public HttpFront(Controller controller) {
     this.controller = controller;
-    this.jobs = controller.jobs();
+    this.jobs = controller.jobService();
   }
 
   @Override
@@ -32,7 +32,7 @@
     String path = query < 0 ? uri : uri.substring(0, query);
     if (path.equals(Wire.READY)) {
       if (allowed(method, "GET", out)) {
-        out.send(controller.ready() ? 200 : 503, new byte[0], 0);
+        out.send(controller.isReady() ? 200 : 503, new byte[0], 0);
       }
     } else if (path.equals(Wire.HELLO)) {
       if (allowed(method, "POST", out)) {
@@ -77,7 +77,7 @@
 
   private void hello(byte[] body, Responder out) {
     try {
-      controller.hello(WorkerReport.parse(parse(body)), out);
+      controller.onWorkerHeartbeat(WorkerReport.parse(parse(body)), out);
     } catch (Malformed e) {
       LOG.info("malformed report: {}", e.getMessage());
       error(out, 400, e.getMessage());
--- a/src/test/java/dunlincroft/coordination/JobRunTest.java
+++ b/src/test/java/dunlincroft/coordination/JobRunTest.java
@@ -49,15 +49,15 @@
   @Test
   void tasksSaveUnlessTheirTimeIsOver() {
     Placement placement = place(0);
-    assertThat(placement.windDownS()).isEqualTo(FLUSH_S);
+    assertThat(placement.stopGraceS()).isEqualTo(FLUSH_S);
     job.endedBy(End.STOP);
     assertThat(job.stopMode()).isEqualTo(JobRun.StopMode.WITHOUT_SAVING);
-    assertThat(placement.windDownS()).isZero();
+    assertThat(placement.stopGraceS()).isZero();
     job.endedBy(End.SAVE);
-    assertThat(placement.windDownS()).isEqualTo(FLUSH_S);
+    assertThat(placement.stopGraceS()).isEqualTo(FLUSH_S);
     job.endedBy(End.STOP);
     job.endedBy(null);
-    assertThat(placement.windDownS()).isEqualTo(FLUSH_S);
+    assertThat(placement.stopGraceS()).isEqualTo(FLUSH_S);
   }
 
   @Test
@@ -67,8 +67,8 @@
     job.endedBy(null);
     job.endedBy(End.SAVE);
     assertThat(job.cancelled).isTrue();
-    assertThat(placement.stop).isTrue();
-    assertThat(placement.windDownS()).isZero();
+    assertThat(placement.stopRequested).isTrue();
+    assertThat(placement.stopGraceS()).isZero();
   }
 
   @Test
@@ -77,7 +77,7 @@
     job.abandon();
     assertThat(job.stopMode()).isEqualTo(JobRun.StopMode.ABANDON);
     assertThat(job.cancelled).isFalse();
-    assertThat(placement.stop).isTrue();
+    assertThat(placement.stopRequested).isTrue();
   }
 
   @Test
--- a/src/test/java/dunlincroft/coordination/PeriodicTasksTest.java
+++ b/src/test/java/dunlincroft/coordination/PeriodicTasksTest.java
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void aTaskWithAFirstMomentDoesNotRunBefore() {
+  void aTaskWithAFirstRunTimeDoesNotRunEarlier() {
     tasks.everyFrom(50, 100, "figures", now -> runs.add("figures"));
     tick(49);
     assertThat(runs).isEmpty();
--- a/src/test/java/dunlincroft/coordination/RingTest.java
+++ b/src/test/java/dunlincroft/coordination/RingTest.java
@@ -18,20 +18,20 @@
   }
 
   @Property(seed = "3", tries = 100)
-  void aWalkVisitsEachMachineOnceAndLosingOneMovesOnlyItsImages(
+  void preferenceListHasEachMachineOnceAndRemovingOneMovesOnlyItsImages(
       @ForAll @IntRange(min = 2, max = 40) int n, @ForAll @IntRange(min = 0, max = 39) int lost) {
     List<Machine> all = machines(n);
-    Machine gone = all.get(lost % n);
-    List<Machine> rest = new ArrayList<>(all);
-    rest.remove(gone);
+    Machine removed = all.get(lost % n);
+    List<Machine> remaining = new ArrayList<>(all);
+    remaining.remove(removed);
     Ring before = new Ring(all);
-    Ring after = new Ring(rest);
+    Ring after = new Ring(remaining);
     for (int image = 0; image < 20; image++) {
-      List<Machine> walk = before.walk("img-" + image);
-      assertThat(walk).hasSize(n).doesNotHaveDuplicates();
-      List<Machine> expected = new ArrayList<>(walk);
-      expected.remove(gone);
-      assertThat(after.walk("img-" + image)).isEqualTo(expected);
+      List<Machine> order = before.preferenceList("img-" + image);
+      assertThat(order).hasSize(n).doesNotHaveDuplicates();
+      List<Machine> expected = new ArrayList<>(order);
+      expected.remove(removed);
+      assertThat(after.preferenceList("img-" + image)).isEqualTo(expected);
     }
   }
 }
--- a/src/test/java/dunlincroft/coordination/ShardLogTest.java
+++ b/src/test/java/dunlincroft/coordination/ShardLogTest.java
@@ -30,7 +30,7 @@
 
   private static ShardLog log() {
     Replica replica = new Replica();
-    World world = new World(null, null, null, null, replica, new JobIndex(replica));
+    ClusterState world = new ClusterState(null, null, null, null, replica, new JobIndex(replica));
     ShardLog log = new ShardLog(world, "n0");
     log.nextSlot(Long.MAX_VALUE);
     return log;
--- a/src/test/java/dunlincroft/sim/SimCluster.java
+++ b/src/test/java/dunlincroft/sim/SimCluster.java
@@ -358,17 +358,17 @@
       boolean refused =
           (other.controller == null && !other.silent)
               || refusing.contains(pair(index, other.index));
-      controller.refused("n" + other.index, refused);
+      controller.onConnectionRefusal("n" + other.index, refused);
       if (refused || other.controller == null) {
         return;
       }
-      Beat beat = controller.beat();
+      Beat beat = controller.peerHeartbeat();
       int life = other.life;
       net.stream(
           nodeAddress(index),
           nodeAddress(other.index),
           lossy.contains(index) || lossy.contains(other.index) ? linkLoss : 0,
-          () -> other.act(life, other.arrived, () -> other.controller.heard(beat)));
+          () -> other.act(life, other.arrived, () -> other.controller.onPeerHeartbeat(beat)));
     }
 
     /** What comes to a node that stands still waits in its sockets and timers. */
@@ -780,7 +780,7 @@
 
   /** What a node answers to the balancer's probe; false while it is gone. */
   boolean ready(int node) {
-    return nodes.get(node).controller != null && nodes.get(node).controller.ready();
+    return nodes.get(node).controller != null && nodes.get(node).controller.isReady();
   }
 
   /** The controller there that answered most workers of late; the holder if none did. */
