--- a/src/main/java/dunlincroft/coordination/ClusterState.java
+++ b/src/main/java/dunlincroft/coordination/ClusterState.java
@@ -30,7 +30,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What this node knows and holds; shared by the parts of the scheduler, guarded by one lock. */
+/**
+ * State of this controller: the shards it owns with their jobs and machines, and its replica of the
+ * state service's records. Shared by all components of the controller, whose events run under one
+ * lock.
+ */
 final class ClusterState {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterState.class);
 
@@ -44,10 +48,13 @@
   Feed feed;
   Figures metrics;
 
-  /** What other parts of the product say of starts. */
+  /** Start conditions set by other parts of the product, such as the settlement calendar. */
   Conditions conditions = new Conditions(List.of());
 
-  /** Shards whose record names this incarnation, by name, with the record's stamp. */
+  /**
+   * Shards whose ownership record names this incarnation of the node, with the stamp of that
+   * record.
+   */
   final Object2LongOpenHashMap<String> ownedShards = new Object2LongOpenHashMap<>();
 
   final Map<String, JobRun> jobs = new Object2ObjectLinkedOpenHashMap<>();
@@ -58,15 +65,18 @@
   private long nextRingBuildMs;
   private final Map<String, List<Machine>> preferenceLists = new Object2ObjectOpenHashMap<>();
 
-  /** Parts of shares, by team and shard, whose handing over is asked for: no longer ours to use. */
+  /**
+   * Resources of team limits, by team and shard, whose transfer to another shard has been
+   * requested. This node must not use them any more.
+   */
   final Map<String, Room> outgoingShares = new HashMap<>();
 
   private final Map<String, Long> attemptCounts = new HashMap<>();
 
-  /** Where machines of others are, as far as that was looked up ahead of a change of hands. */
+  /** Endpoints of machines that other controllers own, looked up ahead of a possible takeover. */
   final Map<String, String> endpoints = new HashMap<>();
 
-  /** Something changed that may let waiting work start. */
+  /** Whether something has changed that may allow waiting work to start. */
   boolean placementDue = true;
 
   ClusterState(
@@ -93,20 +103,27 @@
     return ownedShards.containsKey(shard);
   }
 
-  /** The higher stamp of a machine's block and shard: larger after any change of hands. */
+  /**
+   * The higher of the stamps of a machine's block and shard; it grows with every change of owner.
+   */
   long fenceToken(Machine machine) {
     return Math.max(machine.blockStamp, ownedShards.getLong(machine.shard));
   }
 
   /**
-   * A try that no other start of any task ever had: the shard's stamp is new with every holding,
-   * and the count is within it.
+   * Returns an attempt number that no other start of any task has had. The upper bits are the
+   * shard's stamp, which is new for each period of ownership; the lower bits count attempts within
+   * the period.
    */
   long nextAttempt(String shard) {
     long number = attemptCounts.merge(shard, 1L, Long::sum);
     return (ownedShards.getLong(shard) << 24) + number;
   }
 
+  /**
+   * All machines in the order in which consistent hashing prefers them for an image. The ring is
+   * rebuilt at most once per {@link Constants#RING_MS}.
+   */
   List<Machine> preferenceList(String image) {
     if (ringStale && now() >= nextRingBuildMs) {
       ring = new Ring(machines.values());
@@ -119,7 +136,7 @@
 
   // ---- shards ----
 
-  /** Begins to act for a shard: everything is rebuilt from the records. */
+  /** Starts acting as the owner of a shard and rebuilds its jobs and machines from the records. */
   void acquire(String shard, long ownerStamp) {
     ownedShards.put(shard, ownerStamp);
     attemptCounts.put(shard, 0L);
@@ -135,7 +152,7 @@
         machines.values().stream().filter(machine -> machine.shard.equals(shard)).count());
   }
 
-  /** Stops acting for a shard: somebody else does. */
+  /** Stops acting for a shard that this node no longer owns. */
   void release(String shard) {
     ownedShards.removeLong(shard);
     jobs.values().removeIf(job -> job.shard.equals(shard));
@@ -145,9 +162,9 @@
         .forEach(this::remove);
   }
 
-  // ---- following the replica ----
+  // ---- changes of the replica ----
 
-  /** The block that a machine is in was written or removed. */
+  /** Handles a changed or removed record of the block that lists a machine. */
   void onBlockChanged(String host) {
     BlockIndex.Block block = blocks.of(host);
     Machine known = machines.get(host);
@@ -161,11 +178,11 @@
       return;
     }
     if (known != null && known.blockStamp == 0) {
-      return; // It is being released; forget() looks at the block again.
+      return; // The machine is being released; onMachineReleased() reads the block again.
     }
     BlockRecord record = block.record();
     if (known != null && !known.shard.equals(record.shard())) {
-      remove(known); // It was empty and moved between two shards of ours.
+      remove(known); // The machine was empty and has moved between two shards of this node.
       known = null;
     }
     if (known == null) {
@@ -187,7 +204,7 @@
     known.blockStamp = Math.max(known.blockStamp, block.stamp());
   }
 
-  /** A job was written or removed. */
+  /** Handles a changed or removed job record. */
   void onJobChanged(String id) {
     JobIndex.Job recordedJob = jobIndex.get(id);
     JobRun run = jobs.get(id);
@@ -203,7 +220,7 @@
       return;
     }
     if (!jobIndex.readable(id, recordedJob.shard)) {
-      LOG.error("job {} is not run: not all that is recorded of it can be read", id);
+      LOG.error("job {} is not run: some of its records cannot be read", id);
       return;
     }
     JobRun created =
@@ -216,7 +233,8 @@
     for (TaskState.Place place : recordedJob.places()) {
       Machine machine = machineOf(place.host(), recordedJob.shard);
       Placement placement = new Placement(created, place.task(), machine, place.attempt(), now());
-      // An earlier holder may have sent it: only the worker or a release can clear it.
+      // An earlier owner may have sent the start order: only the worker's report or the release of
+      // the machine can clear the placement.
       placement.orderSent = true;
       created.placeRecorded(placement);
     }
@@ -227,7 +245,10 @@
     placementDue = true;
   }
 
-  /** A record may name a machine whose block is gone: it must be released before tasks move. */
+  /**
+   * Returns the machine of a recorded placement. If its block is gone, the machine must be released
+   * before its tasks may start elsewhere.
+   */
   private Machine machineOf(String host, String shard) {
     Machine known = machines.get(host);
     if (known == null) {
@@ -248,11 +269,13 @@
     }
   }
 
+  /** Removes a machine whose release is recorded; it is added again if a block still lists it. */
   void onMachineReleased(Machine machine) {
     remove(machine);
     onBlockChanged(machine.host);
   }
 
+  /** Replaces the known machine types. */
   void setMachineTypes(List<MachineType> all) {
     Map<String, MachineType> byLabel = new Object2ObjectLinkedOpenHashMap<>();
     all.forEach(type -> byLabel.put(type.label(), type));
@@ -261,6 +284,7 @@
     placementDue = true;
   }
 
+  /** Stops a job if the replica shows its cancellation. */
   void onCancellation(String id) {
     JobRun run = jobs.get(id);
     if (run != null && !run.cancelled && replica.get(Replica.CANCELS, id) != null) {
@@ -273,12 +297,12 @@
     return conditions.active() && spec.daemon() ? conditions.on(spec).sides() : null;
   }
 
-  /** Whether a service's replicas belong to one side each, as in a migration. */
+  /** Whether a migration assigns each replica of a service to one of two sides. */
   boolean hasMigrationSides(JobSpec spec) {
     return migrationSides(spec) != null;
   }
 
-  /** Zones in which machines of a type are of use to a job's tasks. */
+  /** Zones in which machines of a type can run tasks of a job. */
   List<String> zonesFor(JobIndex.Job job, MachineType type) {
     if (job.spec.hall() != null) {
       return List.of(job.spec.hall());
@@ -296,7 +320,7 @@
     return zones.isEmpty() ? type.halls() : zones;
   }
 
-  /** Replicas of a service that are recorded on machines of the other side than theirs. */
+  /** Number of replicas of a service that are recorded on machines of the wrong migration side. */
   int misplacedReplicas(JobIndex.Job job) {
     Sides sides = migrationSides(job.spec);
     int misplaced = 0;
@@ -320,17 +344,23 @@
     return misplaced;
   }
 
-  /** Whether machines should be there for a job now. */
+  /** Whether machines should be available for a job now, according to its start conditions. */
   boolean needsMachines(JobSpec spec) {
     return !conditions.active() || conditions.on(spec).wanted();
   }
 
-  /** Whether a job's tasks may go to spot machines, by the user's word and the operators'. */
+  /**
+   * Whether a job's tasks may run on spot machines, according to the job and to the operators'
+   * policy.
+   */
   boolean allowsSpot(JobSpec spec) {
     return spec.lendable() && policy.spot(spec);
   }
 
-  /** The same, asked for every machine: an expression is worked out once for each job. */
+  /**
+   * The same, cached: it is called for every machine, and the policy's expression is evaluated once
+   * per job.
+   */
   boolean allowsSpot(JobRun job) {
     if (job.spot == null) {
       job.spot = allowsSpot(job.spec);
@@ -338,7 +368,10 @@
     return job.spot;
   }
 
-  /** Work that one stopped task of a job may lose for another team's guarantee. */
+  /**
+   * Milliseconds of work that a preempted task of a job may lose in favour of another team's
+   * guarantee.
+   */
   long preemptLossMs(JobRun job) {
     if (job.preemptLossMs < 0) {
       job.preemptLossMs = policy.preemptLossMs(job.spec);
@@ -346,15 +379,17 @@
     return job.preemptLossMs;
   }
 
+  /** Whether the job and the operators' policy allow its tasks on a machine. */
   boolean allows(JobRun job, Machine machine) {
     return job.spec.allows(machine.flavour, machine.hall, machine.lendable)
         && (!machine.lendable || allowsSpot(job));
   }
 
   /**
-   * Thousandths of processors of a machine that work leaves free, for the operators' bound and for
-   * services that may come. Worked out once for each machine: the operators' rules rest on its type
-   * and place alone.
+   * Thousandths of a machine's processors that work must leave free: for the operators' load bound
+   * and, unless the work has rank PROD, for further services on machines that run some. Computed
+   * once per machine, because the operators' rules depend only on its type, its zone and whether it
+   * is a spot machine.
    */
   long reservedCpu(Machine machine, boolean prod) {
     if (machine.keptFor != machine.type) {
@@ -368,28 +403,38 @@
     return prod || !machine.hasDaemon() ? machine.keptAlways : machine.keptForServices;
   }
 
-  /** Milliseconds of silence in which a worker misses so many reports. */
+  /** Milliseconds of silence in which a worker misses the given number of reports. */
   long reportIntervalsMs(double intervals) {
     return (long) (settings.reportS() * intervals * 1000);
   }
 
-  /** Time in which we could not hear anybody counts for no machine's silence. */
+  /**
+   * Excludes a pause of this process from the silence of all machines: no report could be received
+   * meanwhile.
+   */
   void onProcessPause(long pauseMs) {
     machines.values().forEach(machine -> machine.session.onPause(pauseMs, now()));
   }
 
+  /** Whether a machine can take new tasks now. */
   boolean isUsable(Machine machine) {
     return isUsable(machine, now());
   }
 
-  /** The same at a moment that was read before: reading the clock has its price. */
+  /**
+   * The same at a given time: loops read the clock once, because reading it for every machine is
+   * costly.
+   */
   boolean isUsable(Machine machine, long nowMs) {
     return machine.usable(nowMs, reportIntervalsMs(Constants.SUSPECT_REPORTS));
   }
 
   // ---- teams ----
 
-  /** What the tasks of a team take on machines of the shard, as far as that is possible. */
+  /**
+   * Resources that a team's tasks take of a shard's share of the limit: tasks that are placed, and
+   * tasks that a record still names.
+   */
   Room teamUsage(String team, String shard) {
     Room sum = Room.NONE;
     for (JobRun job : jobs.values()) {
@@ -400,7 +445,10 @@
     return sum;
   }
 
-  /** The shard's recorded share of a team's limit, less what is being given away. */
+  /**
+   * The shard's recorded share of a team's limit, less transfers to other shards that have been
+   * requested.
+   */
   Room usableShare(String team, String shard) {
     Item item = replica.get(Replica.SHARES, team);
     return item == null
@@ -408,7 +456,7 @@
         : recordedShare(item.data(), shard).minus(outgoingShare(team, shard));
   }
 
-  /** A share as recorded; nothing without a record. */
+  /** A shard's share as recorded; nothing without a record. */
   static Room recordedShare(JsonNode record, String shard) {
     JsonNode part = record.path(shard);
     return new Room(part.path("cpu").asLong(), part.path("gpu").asLong(), Long.MAX_VALUE / 4);
@@ -419,14 +467,16 @@
   }
 
   /**
-   * So old may our knowledge of cancellations be while hellos are answered: the lease that an
-   * answer renews ends within {@code cancel_s} of any cancellation that we do not know of.
+   * Maximum age of this node's knowledge of cancellations while it answers worker heartbeats. An
+   * answer renews the worker's lease; with this limit the lease ends within {@code cancel_s} of any
+   * cancellation that the node does not know of.
    */
   long maxCancellationLagMs() {
     long slackMs = (long) ((settings.cancelS() - settings.leaseS()) * 1000);
     return slackMs - Math.min(Constants.CUT_MARGIN_MS, slackMs / 2);
   }
 
+  /** Machine types that a job allows and on which one of its tasks fits. */
   List<MachineType> allowedTypes(JobSpec spec) {
     List<MachineType> allowed = new ArrayList<>();
     for (MachineType type : machineTypes.values()) {
@@ -440,11 +490,12 @@
     return allowed;
   }
 
+  /** Parses a list of machine types; returns none if it is malformed. */
   static List<MachineType> parseMachineTypes(JsonNode data) {
     try {
       return MachineType.parseAll(data);
     } catch (Malformed e) {
-      LOG.info("machine types: {}", e.getMessage());
+      LOG.info("machine types cannot be parsed: {}", e.getMessage());
       return List.of();
     }
   }
--- a/src/main/java/dunlincroft/coordination/Controller.java
+++ b/src/main/java/dunlincroft/coordination/Controller.java
@@ -26,7 +26,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: the parts put together, and the clockwork that drives them. */
+/** One controller node: creates its components, connects them, and runs their periodic tasks. */
 public final class Controller {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
@@ -89,11 +89,12 @@
     placementLog.onRecorded(machines -> machines.forEach(workerProtocol.commands::push));
   }
 
+  /** Answers users' requests about jobs. */
   public JobDesk jobService() {
     return jobService;
   }
 
-  /** Begins; must run like every other event. */
+  /** Starts the controller; must be called as an event, like all other methods. */
   public void start() {
     membership.start();
     cluster.feed.start();
@@ -103,7 +104,7 @@
     tick();
   }
 
-  // ---- what changes ----
+  // ---- changes of records ----
 
   private void onRecordChanged(String kind, String name) {
     cluster.jobIndex.changed(kind, name);
@@ -139,6 +140,7 @@
     return machines;
   }
 
+  /** Pushes orders to machines in an event of its own, once the present one is done. */
   private void schedulePush(Collection<Machine> machines) {
     if (machines.isEmpty()) {
       return;
@@ -156,7 +158,7 @@
     membership.names().forEach(shard -> membership.recordChanged(Replica.SHARDS, shard));
   }
 
-  /** What membership tells us about shards. */
+  /** Receives changes of shard ownership from the membership. */
   private final class ShardCallbacks implements ShardListener {
     @Override
     public boolean owns(String shard) {
@@ -169,8 +171,8 @@
     }
 
     /**
-     * Its machines are asked at once, so that loads are known: those with services first, then
-     * those with other tasks.
+     * Probes the machines of the acquired shard at once, so that their load is known: machines with
+     * services first, then those with other tasks.
      */
     @Override
     public void acquire(String shard, long stamp) {
@@ -202,14 +204,14 @@
       proxyOwner.cancelled(job);
       JobRun run = cluster.jobs.get(job);
       if (run != null && run.stopMode() != JobRun.StopMode.ABANDON) {
-        LOG.info("job {} is cancelled, as another node told its user: stopped", job);
+        LOG.info("job {} is stopped: a peer has confirmed its cancellation to the user", job);
         run.abandon();
         schedulePush(machinesOf(run));
       }
     }
   }
 
-  // ---- clockwork ----
+  // ---- timer ----
 
   private void scheduleTick(long delayMs) {
     int number = ++tickNumber;
@@ -223,7 +225,10 @@
         });
   }
 
-  /** Who has nothing to run ticks seldom; the next tick after a takeover is due at once. */
+  /**
+   * Runs the tasks that are due. A node without machines and jobs ticks less often; after a
+   * takeover the next tick is due at once.
+   */
   private void tick() {
     long now = cluster.now();
     long lateMs = now - tickDueMs;
@@ -237,25 +242,28 @@
     tasks.runDue(now);
   }
 
-  /** What every controller does again and again, in the order of one tick. */
+  /** Adds the periodic tasks of a controller, in the order in which they run within one tick. */
   private void addPeriodicTasks() {
     long slowPeriodMs = Constants.SLOW_TICKS * Constants.PLACE_MS;
-    tasks.every(slowPeriodMs, "share the budget of the state service", now -> updateRateShares());
+    tasks.every(slowPeriodMs, "rate limits of the state service", now -> updateRateShares());
     tasks.every(slowPeriodMs, "membership", now -> membership.tick());
     tasks.every(slowPeriodMs, "admission", this::tickAdmission);
     tasks.every(slowPeriodMs, "answer waiting heartbeats", now -> heartbeats.answerWaiting());
     tasks.every(slowPeriodMs, "machine types", now -> autoscaler.typesTick());
     tasks.every(slowPeriodMs, "leases and conditions, as the leader", now -> runLeaderDuties());
     tasks.every(
-        slowPeriodMs, "end what conditions end", now -> schedulePush(startConditions.stopEnded()));
-    tasks.every(Constants.SUPPLY_MS, "machines, as the leader", now -> runLeaderScaling());
+        slowPeriodMs,
+        "stop tasks whose conditions have ended",
+        now -> schedulePush(startConditions.stopEnded()));
+    tasks.every(
+        Constants.SUPPLY_MS, "machine provisioning, as the leader", now -> runLeaderScaling());
     tasks.every(Constants.SUPPLY_MS, "machines, as the owner", now -> autoscaler.holderTick());
     tasks.every(Constants.SUPPLY_MS, "handover", now -> runHandover());
     tasks.every(Constants.SUPPLY_MS, "placement due", now -> cluster.placementDue = true);
     tasks.everyTick("placement", this::runRoundIfDue);
     tasks.everyTick("records", now -> flushPlacements());
     long firstLogMs = cluster.now() + Constants.FIGURES_MS;
-    tasks.everyFrom(firstLogMs, Constants.FIGURES_MS, "figures", now -> logMetrics());
+    tasks.everyFrom(firstLogMs, Constants.FIGURES_MS, "metrics", now -> logMetrics());
   }
 
   private void tickAdmission(long now) {
@@ -286,7 +294,10 @@
     }
   }
 
-  /** Rounds never take more than a part of the processor, however much waits. */
+  /**
+   * Runs a placement round if one is due. The pause after each round limits rounds to a fraction of
+   * the processor, however much work waits.
+   */
   private void runRoundIfDue(long now) {
     if (!cluster.placementDue || !isCurrentOwner()) {
       return;
@@ -320,7 +331,7 @@
             + cluster.store.figures());
   }
 
-  /** One round; returns the pause that it must be followed by. */
+  /** Runs one placement round; returns the milliseconds to pause before the next one. */
   private long runRound(boolean servicesOnly) {
     long startMs = cluster.now();
     schedulePush(scheduler.place(servicesOnly));
@@ -328,12 +339,13 @@
   }
 
   /**
-   * We heard nobody while we stood still: silence that was ours is nobody else's. What rests on the
-   * state service's word (our holds, how current our replica is) keeps its true age.
+   * Handles a pause of this process (garbage collection or scheduling): nothing could be received
+   * meanwhile, so silence of others during the pause does not count. The age of what the state
+   * service has confirmed (the session lease, the replica) does not change.
    */
   private void onProcessPause(long pauseMs) {
     LOG.info(
-        "node {} stood still for {} ms: what it did not hear meanwhile is no silence",
+        "node {} stood still for {} ms: silence of others during this pause does not count",
         nodeName(),
         pauseMs);
     metrics.count(Figures.Event.STANDSTILL);
@@ -346,40 +358,47 @@
     return cluster.settings.node();
   }
 
+  /** Whether this node owns a shard and its replica is recent enough to act on. */
   private boolean isCurrentOwner() {
     return !cluster.ownedShards.isEmpty()
         && cluster.feed.synced()
         && cluster.feed.silentMs() < Constants.STALE_MS;
   }
 
-  /** Who holds machines must see new jobs at once; the others mostly accept them. */
+  /**
+   * Sets the interval of the change feed and this node's share of the state service's rate limits.
+   * Nodes that own machines must see new jobs at once; the others mostly accept jobs.
+   */
   private void updateRateShares() {
     boolean ownsLeasedShard = membership.leasedShards().stream().anyMatch(cluster::owns);
     cluster.feed.pause(ownsLeasedShard ? Constants.WATCH_PAUSE_MS : Constants.WATCH_CALM_MS);
     membership.shareRates();
   }
 
-  // ---- the link ----
+  // ---- peers ----
 
+  /** The heartbeat that this node sends to its peers. */
   public Beat peerHeartbeat() {
     return membership.heartbeat(
         jobService.admission().load(cluster.now()), autoscaler.silentMachines());
   }
 
+  /** Handles a heartbeat of a peer. */
   public void onPeerHeartbeat(Beat heartbeat) {
     membership.heartbeatReceived(heartbeat);
     jobService.admission().loadReceived(heartbeat.node(), heartbeat.load(), cluster.now());
   }
 
-  /** Another controller refuses connections of ours, or no longer does. */
+  /** Records that a peer refuses connections of this node, or no longer does. */
   public void onConnectionRefusal(String node, boolean refused) {
     membership.connectionRefused(node, refused);
   }
 
   /**
-   * A common outage makes no node unready, and neither does a common restart, which is over in a
-   * second or two: the balancer would leave everybody out for three seconds at least, and twice as
-   * long each time. A node alone in its trouble becomes unready.
+   * Whether the load balancer should send users to this node. An outage of all nodes makes no node
+   * unready, and neither does a restart of all nodes, which is over in a second or two: the load
+   * balancer would exclude every node for at least three seconds, and twice as long each time. A
+   * node that is affected alone becomes unready.
    */
   public boolean isReady() {
     boolean current =
@@ -393,7 +412,10 @@
 
   // ---- workers ----
 
-  /** Answers a worker: orders from the holder of its machine's shard, or the way there. */
+  /**
+   * Answers a worker's heartbeat: with orders if this node owns the machine's shard, otherwise with
+   * the name of the owner.
+   */
   public void onWorkerHeartbeat(WorkerReport report, Responder out) {
     heartbeats.answer(report, out);
   }
--- a/src/main/java/dunlincroft/coordination/Demand.java
+++ b/src/main/java/dunlincroft/coordination/Demand.java
@@ -13,9 +13,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What all waiting and running work wants of machines, read off the records. */
+/** Demand of all waiting and running work for machines, computed from the records. */
 final class Demand {
-  /** Machines wanted of a type: for work that needs ordinary ones, and for the rest. */
+  /**
+   * Numbers of machines of one type: on-demand ones for work that may not use spot machines, and
+   * preemptible (spot) ones for all other work.
+   */
   static final class MachineDemand {
     double onDemand;
     double preemptible;
@@ -29,7 +32,10 @@
     this.cluster = cluster;
   }
 
-  /** The needs, slow to rise over a short burst and slower to fall between two. */
+  /**
+   * Demand by machine type, smoothed so that it rises slowly in a short burst and falls even more
+   * slowly between two bursts.
+   */
   Map<String, MachineDemand> smoothedDemand() {
     double seconds = (cluster.now() - smoothedAtMs) / 1000.0;
     if (seconds * 1000 < Constants.SUPPLY_MS / 2.0) {
@@ -46,6 +52,10 @@
     return smoothed;
   }
 
+  /**
+   * Moves a value exponentially towards a new one: fastest after a jump, more slowly for a small
+   * rise, slowest for a fall.
+   */
   private static double approach(double from, double to, double seconds) {
     double timeConstantS =
         to > from * Constants.NEED_JUMP
@@ -65,7 +75,7 @@
         continue;
       }
       Room remaining = remainingLimits.getOrDefault(team.name(), team.limit());
-      // Who is to move needs room where it goes before it leaves.
+      // A replica that is to move needs capacity at its destination before it leaves its machine.
       int demandedTasks =
           spec.room().countIn(remaining, job.wanted() + cluster.misplacedReplicas(job));
       remainingLimits.put(team.name(), remaining.minus(spec.room().times(demandedTasks)));
@@ -80,13 +90,16 @@
     return demandByType;
   }
 
-  /** Machines of the type that services and other work without spot machines want. */
+  /**
+   * Target number of on-demand machines of a type, for services and all other work that may not use
+   * spot machines, with the operators' spare and at least one machine per zone.
+   */
   double onDemandTarget(MachineType type, MachineDemand demand) {
     double spare = cluster.policy.spare(type) * type.halls().size();
     return Math.max(type.halls().size(), demand.onDemand + spare);
   }
 
-  /** The type whose machines are the cheapest for a job's tasks, or null when none fits. */
+  /** The machine type that is cheapest for a job's tasks, or null if none fits. */
   MachineType cheapestType(JobSpec spec) {
     return cluster.allowedTypes(spec).stream()
         .min(
@@ -99,6 +112,7 @@
         .orElse(null);
   }
 
+  /** Number of machines that some tasks of a job fill, in fractions of a machine. */
   private static double machinesFor(JobSpec spec, MachineType type, int tasks) {
     return (double) tasks / Math.max(1, spec.room().countIn(type.room(), Constants.MAX_PIECES));
   }
@@ -109,7 +123,7 @@
 
   // ---- by shard ----
 
-  /** The numbers of machines in recorded blocks, by class and shard. */
+  /** Numbers of machines in recorded blocks, by class and shard. */
   Map<BlockClass, Map<String, Integer>> machinesByClass() {
     Map<BlockClass, Map<String, Integer>> machines = new HashMap<>();
     for (BlockIndex.Block block : cluster.blocks.all()) {
@@ -120,7 +134,7 @@
     return machines;
   }
 
-  /** Machines' worth of open work that blocks of this class may run, by shard. */
+  /** Unfinished work that machines of a class may run, in numbers of machines, by shard. */
   Map<String, Double> machinesByShard(BlockClass machineClass) {
     Map<String, Double> work = new HashMap<>();
     MachineType type = cluster.machineTypes.get(machineClass.flavour());
@@ -140,7 +154,7 @@
     return work;
   }
 
-  /** What the open work of a team takes, by shard. */
+  /** Resources that the unfinished work of a team takes, by shard. */
   Map<String, Room> resourcesByShard(String team) {
     Map<String, Room> work = new HashMap<>();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
--- a/src/main/java/dunlincroft/coordination/PeriodicTasks.java
+++ b/src/main/java/dunlincroft/coordination/PeriodicTasks.java
@@ -7,13 +7,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Named tasks, each with its own period. Whoever owns them calls {@link #runDue} at every tick of
- * its clock; tasks that are due together run in the order in which they were added.
+ * Named tasks, each with its own period. The owner calls {@link #runDue} at every tick of its
+ * clock; tasks that are due at the same tick run in the order in which they were added.
  */
 final class PeriodicTasks {
   private static final Logger LOG = LoggerFactory.getLogger(PeriodicTasks.class);
 
-  /** One task, and when it runs next. */
+  /** One task and the time of its next run. */
   private static final class Task {
     private final String name;
     private final long periodMs;
@@ -48,7 +48,7 @@
     add(name, periodMs, 0, action);
   }
 
-  /** Adds a task that runs once in each period, for the first time at the given moment. */
+  /** Adds a task that runs once in each period, for the first time at the given time. */
   void everyFrom(long firstRunMs, long periodMs, String name, LongConsumer action) {
     add(name, periodMs, firstRunMs, action);
   }
@@ -57,7 +57,7 @@
     tasks.add(new Task(name, periodMs, action, firstRunMs));
   }
 
-  /** Runs the tasks that are due; each gets the moment of this tick. */
+  /** Runs the tasks that are due and passes them the time of this tick. */
   void runDue(long nowMs) {
     for (Task task : tasks) {
       task.runIfDue(nowMs);
--- a/src/main/java/dunlincroft/coordination/Placement.java
+++ b/src/main/java/dunlincroft/coordination/Placement.java
@@ -3,7 +3,8 @@
 import dunlincroft.protocol.Wire;
 
 /**
- * A task that may be on a machine. It counts against room, limit, spread and zone until cleared.
+ * A task that may be on a machine. It counts towards resources, limits, spread and zone constraints
+ * until it is cleared.
  */
 final class Placement {
   final JobRun job;
@@ -13,25 +14,32 @@
   final long placedAtMs;
   private final String taskName;
 
-  /** The state service holds this placement: only then may an order leave. */
+  /**
+   * Whether the state service has recorded this placement; no start order may be sent before that.
+   */
   boolean recorded;
 
-  /** An order to run it may have left, from this holder or one before it. */
+  /** Whether a start order may have been sent, by this owner or an earlier one. */
   boolean orderSent;
 
-  /** It is to go: cancelled, preempted or drained. Set by JobRun.halt(). */
+  /**
+   * Whether the task is to be stopped: cancelled, preempted or drained. Set by {@link JobRun#halt}.
+   */
   boolean stopRequested;
 
-  /** The worker's newest report has it. */
+  /** Whether the worker's latest report lists the task. */
   boolean inLastReport;
 
-  /** When the worker was first seen to run it. */
+  /** When the worker was first seen to run the task; 0 before that. */
   long runningSinceMs;
 
-  /** What stopping it costs the job that looks for room now; for the sort of that look alone. */
+  /**
+   * Cost of stopping the task for the job that is being placed; only valid while its victims are
+   * sorted.
+   */
   long preemptionCost;
 
-  /** Last status the worker reported; null while it reported none. */
+  /** Last status that the worker reported; null before the first report. */
   String reportedStatus;
 
   Placement(JobRun job, int task, Machine machine, long attempt, long placedAtMs) {
@@ -43,10 +51,12 @@
     this.taskName = Wire.piece(job.id, task);
   }
 
+  /** Name of the task, from the job's id and the task's number. */
   String taskName() {
     return taskName;
   }
 
+  /** Seconds that the task gets to save its state when it is stopped. */
   double stopGraceS() {
     return job.spec.snapshotS() > 0 && job.stopMode() == JobRun.StopMode.SAVE_FIRST
         ? job.spec.flushS()
--- a/src/main/java/dunlincroft/coordination/RecordedCapacity.java
+++ b/src/main/java/dunlincroft/coordination/RecordedCapacity.java
@@ -15,11 +15,11 @@
 import java.util.Set;
 
 /**
- * What the machines of all shards have free by the records, as every owner of a shard reads them
- * alike. Machines that this node owns count only while they can take work.
+ * Free capacity of the machines of all shards according to the records, so that every owner of a
+ * shard computes the same. Machines of this node count only while they can take work.
  */
 final class RecordedCapacity {
-  /** A machine and what recorded tasks leave free of it. */
+  /** A machine and the resources that recorded tasks leave free on it. */
   static final class Host {
     final String name;
     final String shard;
@@ -84,7 +84,7 @@
     return hostsByShard.keySet();
   }
 
-  /** How many more tasks of a job the machines of a shard have room for, at most so many. */
+  /** How many more tasks of a job fit on the machines of a shard, at most {@code maxTasks}. */
   int countFitting(JobIndex.Job job, String shard, int maxTasks) {
     Map<String, Integer> tasksPerZone = tasksPerZone(job);
     int count = 0;
@@ -104,7 +104,7 @@
     return Math.min(count, maxTasks);
   }
 
-  /** Whether one more task of a job may go to a machine and has room there. */
+  /** Whether one more task of a job is allowed on a machine and fits there. */
   boolean fits(JobIndex.Job job, Host host) {
     return isSuitable(job.spec, host, tasksPerZone(job))
         && job.spec.room().fits(freeCapacity(job.spec, host));
@@ -131,7 +131,10 @@
         && (!host.blockClass.lendable() || cluster.allowsSpot(spec));
   }
 
-  /** What is free for a job: the operators' reserve on machines with services is for services. */
+  /**
+   * Resources free for a job: on machines with services, the operators' reserve is for services
+   * only.
+   */
   private Room freeCapacity(JobSpec spec, Host host) {
     if (!host.hasServices || spec.rank() == Rank.PROD) {
       return host.free;
--- a/src/main/java/dunlincroft/coordination/ReplicaHeadroom.java
+++ b/src/main/java/dunlincroft/coordination/ReplicaHeadroom.java
@@ -20,22 +20,22 @@
 import java.util.function.Predicate;
 
 /**
- * Whether the replicas that wait find room, machine by machine and zone by zone. Machines may be
- * enough by their number while what is free of them lies in pieces, or in a zone that has its part
- * of a service already. Read off the records; lesser work yields to services and counts for
- * nothing.
+ * Checks whether waiting service replicas fit on the machines, by bin packing over machines and
+ * zones. There may be enough machines while their free capacity is fragmented, or lies in a zone
+ * that already has its maximum of a service. Computed from the records; work of lower priority
+ * yields to services and is ignored.
  */
 final class ReplicaHeadroom {
-  /** What is to be rented: machines of one class for one shard. */
+  /** Machines of one class to be rented for one shard. */
   record Shortage(BlockClass blockClass, String shard) {}
 
   /**
-   * What a look at all waiting replicas found.
+   * Result of a check of all waiting replicas.
    *
-   * @param shortages machines that are to be rented, by class and shard
-   * @param unplacedServices services with a replica that finds no room
-   * @param fullZones zones that replicas on their way fill to the last machine
-   * @param reservedHosts machines on whose room a waiting replica counts
+   * @param shortages numbers of machines to be rented, by class and shard
+   * @param unplacedServices services with a replica that fits on no machine
+   * @param fullZones zones that the waiting replicas fill completely, without capacity for one more
+   * @param reservedHosts machines whose capacity a waiting replica counts on
    */
   record Assessment(
       Map<Shortage, Integer> shortages,
@@ -45,12 +45,12 @@
     static final Assessment NONE_WAITING = new Assessment(Map.of(), Set.of(), Set.of(), Set.of());
   }
 
-  /** A machine, there or on its way, with the room that services leave on it. */
+  /** A machine, present or being provisioned, with the capacity that services leave free on it. */
   private static final class Bin {
     final String host;
     final BlockClass blockClass;
 
-    /** The shard that holds it; null: whichever needs it. */
+    /** The shard that owns the machine; null if it may be given to any shard. */
     final String shard;
 
     Room free;
@@ -72,12 +72,13 @@
   }
 
   /**
-   * Looks at all replicas that wait or whose machine does not serve any more.
+   * Checks all replicas that wait or whose machine no longer serves.
    *
-   * @param isServing whether a machine of ours serves or will soon
-   * @param silentElsewhere machines that other nodes own and do not hear
-   * @param provisioning machines on their way into blocks, by class
-   * @param unavailable classes of which none can be rented now
+   * @param isServing whether a machine of this node serves or will soon
+   * @param silentElsewhere machines that other nodes own and receive no reports from
+   * @param provisioning numbers of machines that are being provisioned and are in no block yet, by
+   *     class
+   * @param unavailable classes of which no machine can be rented now
    */
   Assessment assess(
       Predicate<Machine> isServing,
@@ -108,10 +109,11 @@
   }
 
   /**
-   * Replicas that lose their machines are placed as their machines are given up, one after the
-   * other, and not as they were packed here: one that may go anywhere takes room in the only zone
-   * that is left to another. So each zone keeps room for one more of the largest, on one more
-   * machine if need be; it is rented while the lost machines are still waited for.
+   * Keeps capacity for one more of the largest replicas in each zone. Replicas that lose their
+   * machines are placed one after another as the machines are given up, and not as they were packed
+   * here: one that may go to any zone may take the capacity in the only zone that is left to
+   * another. If necessary, one more machine is rented for a zone while the lost machines are still
+   * waited for.
    */
   private void keepZoneHeadroom(
       JobIndex.Job largest,
@@ -134,7 +136,7 @@
     }
   }
 
-  /** A machine of a class that has room for one more replica of a job, or null. */
+  /** A machine of a class that has capacity for one more replica of a job, or null. */
   private static Bin binOfClass(JobIndex.Job job, BlockClass blockClass, List<Bin> bins) {
     return bins.stream()
         .filter(bin -> bin.shard == null || bin.shard.equals(job.shard))
@@ -148,7 +150,7 @@
     return missingReplicas(job, lostHosts) - (job.wanted() - job.placed());
   }
 
-  /** Machines in blocks that do not serve: what is recorded there moves. */
+  /** Machines in blocks that do not serve; replicas recorded there move elsewhere. */
   private Set<String> lostHosts(Predicate<Machine> isServing) {
     Set<String> lostHosts = new HashSet<>();
     for (Machine machine : cluster.machines.values()) {
@@ -159,7 +161,7 @@
     return lostHosts;
   }
 
-  /** Services with replicas that wait or are to move, the largest replicas first. */
+  /** Services with replicas that wait or have to move, the largest replicas first. */
   private List<JobIndex.Job> waitingServices(Set<String> lostHosts) {
     List<JobIndex.Job> waiting = new ArrayList<>();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
@@ -188,7 +190,7 @@
     return count;
   }
 
-  /** What each team's limit leaves for replicas that are on no machine. */
+  /** What each team's limit leaves for replicas that are not placed. */
   private Map<String, Room> remainingLimits() {
     Map<String, Room> remainingLimits = new HashMap<>();
     cluster
@@ -229,7 +231,7 @@
     return bins;
   }
 
-  /** What does not yield to a service, by machine. */
+  /** Resources taken by work that does not yield to services, by machine. */
   private Map<String, Room> usedByServices() {
     Map<String, Room> usedByHost = new HashMap<>();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
@@ -242,7 +244,7 @@
     return usedByHost;
   }
 
-  /** A machine's room for services, less what the operators keep free. */
+  /** Capacity of a machine for services, less what the operators' load bound keeps free. */
   private Room serviceCapacity(BlockClass blockClass) {
     MachineType type = cluster.machineTypes.get(blockClass.flavour());
     if (type == null) {
@@ -252,9 +254,9 @@
     return type.room().minus(new Room((long) (type.room().cpu() * (1 - bound)), 0, 0));
   }
 
-  // ---- fitting ----
+  // ---- bin packing ----
 
-  /** Finds room for the replicas of a service, one by one. Returns how many it looked at. */
+  /** Finds capacity for the replicas of a service, one by one. Returns how many it checked. */
   private int pack(
       JobIndex.Job job,
       Set<String> lostHosts,
@@ -292,7 +294,7 @@
     return number;
   }
 
-  /** The replicas of a service that stay where they are, by zone. */
+  /** Replicas of a service that stay where they are, by zone. */
   private Map<String, Integer> replicasPerZone(JobIndex.Job job, Set<String> lostHosts) {
     Map<String, Integer> replicasPerZone = new HashMap<>();
     for (Place place : job.places()) {
@@ -305,7 +307,7 @@
     return replicasPerZone;
   }
 
-  /** A machine with room for one more replica, in the zone with the fewest of them. */
+  /** A machine with capacity for one more replica, in the zone with the fewest of them, or null. */
   private Bin bestBin(JobIndex.Job job, List<Bin> bins, Map<String, Integer> replicasPerZone) {
     Bin best = null;
     for (Bin bin : bins) {
@@ -335,7 +337,10 @@
         && (!blockClass.lendable() || cluster.allowsSpot(spec));
   }
 
-  /** A machine that could be rented for one more replica, or null. */
+  /**
+   * A machine that could be rented for one more replica, in the zone with the fewest of them, or
+   * null.
+   */
   private Bin rentableBin(
       JobIndex.Job job, Map<String, Integer> replicasPerZone, Predicate<BlockClass> excluded) {
     MachineType type = demand.cheapestType(job.spec);
--- a/src/main/java/dunlincroft/coordination/ReservationHistory.java
+++ b/src/main/java/dunlincroft/coordination/ReservationHistory.java
@@ -10,12 +10,15 @@
 import java.util.Set;
 
 /**
- * Which waiting jobs had all that they need, by the records, and did not start all the same: their
- * machines may hang, or fail their tasks. Others come first for a while, or a part of a limit would
- * lie idle at their shard.
+ * Detects waiting jobs that, according to the records, have everything they need and still start no
+ * task: their machines may hang or fail the tasks. Such jobs are deferred for a while in favour of
+ * others; otherwise part of a team's limit would lie idle at their shard.
  */
 final class ReservationHistory {
-  /** How far a job was when it was first seen with all it needs; passed over until then. */
+  /**
+   * Progress of a job when it was first seen with everything it needs, and until when it is
+   * deferred.
+   */
   private record Observation(int startedTasks, long sinceMs, long deferredUntilMs) {}
 
   private final ClusterState cluster;
@@ -25,7 +28,7 @@
     this.cluster = cluster;
   }
 
-  /** Forgets jobs that do not wait any more. */
+  /** Forgets jobs that no longer wait. */
   void retainWaiting(Collection<List<JobIndex.Job>> waiting) {
     Set<String> waitingRefs = new HashSet<>();
     waiting.forEach(jobs -> jobs.forEach(job -> waitingRefs.add(job.spec.ref())));
@@ -33,9 +36,10 @@
   }
 
   /**
-   * Whether others come before a job now.
+   * Whether other jobs have precedence over a job now.
    *
-   * @param canStart its shard has a machine with room and an unused part of the limit for a task
+   * @param canStart whether its shard has a machine with free capacity and an unused share of the
+   *     limit for one task
    */
   boolean isDeferred(JobIndex.Job job, boolean canStart) {
     long now = cluster.now();
--- a/src/main/java/dunlincroft/coordination/Reservations.java
+++ b/src/main/java/dunlincroft/coordination/Reservations.java
@@ -11,9 +11,10 @@
 import java.util.Set;
 
 /**
- * Room that is free or becomes so and that a waiting job counts on. Without it all that wait count
- * on the same: room is made for one of them at a time, and hundreds of services of a lost zone wait
- * for each other. It binds nobody: who finds room first takes it.
+ * Capacity, free now or soon, that waiting jobs count on. Without reservations all waiting jobs
+ * would count on the same capacity: it would be freed for one of them at a time, and hundreds of
+ * services of a lost zone would wait for each other. Reservations are advisory: whichever job finds
+ * capacity first uses it.
  */
 final class Reservations {
   private record Reservation(Machine machine, Room resources) {}
@@ -21,12 +22,12 @@
   private final Map<JobRun, List<Reservation>> byJob = new HashMap<>();
   private final Map<Machine, Room> byMachine = new HashMap<>();
 
-  /** What is claimed of a machine. */
+  /** Resources reserved on a machine. */
   Room reservedOn(Machine machine) {
     return byMachine.getOrDefault(machine, Room.NONE);
   }
 
-  /** A job counts on room for so many of its tasks on a machine. */
+  /** Reserves resources for a number of a job's tasks on a machine. */
   void reserve(JobRun job, Machine machine, int tasks) {
     if (tasks > 0) {
       Room resources = job.spec.room().times(tasks);
@@ -35,7 +36,7 @@
     }
   }
 
-  /** A job counts on nothing any more, or looks anew. */
+  /** Releases all reservations of a job, which no longer needs them or searches again. */
   void release(JobRun job) {
     List<Reservation> released = byJob.remove(job);
     if (released != null) {
@@ -50,7 +51,10 @@
     }
   }
 
-  /** Only these jobs wait now; of a round over services alone, no others are spoken of. */
+  /**
+   * Releases the reservations of jobs that no longer wait. If the round covered services alone,
+   * reservations of other jobs stay.
+   */
   void retainWaiting(Collection<JobRun> waiting, boolean servicesOnly) {
     if (!byJob.isEmpty()) {
       Set<JobRun> waitingJobs = new HashSet<>(waiting);
--- a/src/main/java/dunlincroft/coordination/Ring.java
+++ b/src/main/java/dunlincroft/coordination/Ring.java
@@ -9,11 +9,14 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Consistent hashing: machines and images on one ring, walked clockwise from the image. */
+/**
+ * Consistent hashing: machines and images are hashed onto one ring, and an image prefers the
+ * machines clockwise from its hash.
+ */
 final class Ring {
   private final List<Machine> machines;
 
-  /** Points in order, and the number of the machine that each belongs to. */
+  /** Points in ascending order, and the index of the machine that each belongs to. */
   private final long[] ringPoints;
 
   private final long[] machineIndexAt;
@@ -32,7 +35,9 @@
     LongArrays.radixSort(ringPoints, machineIndexAt);
   }
 
-  /** Where a machine stands: a matter of its name alone, so that others' places stay. */
+  /**
+   * Points of a machine. They depend on its name alone, so that other machines' points never move.
+   */
   static long[] pointsOf(String host) {
     long[] points = new long[Constants.RING_POINTS];
     for (int i = 0; i < points.length; i++) {
@@ -41,7 +46,7 @@
     return points;
   }
 
-  /** All machines, each once, clockwise from where {@code image} lands. */
+  /** All machines, each once, clockwise from the hash of {@code image}. */
   List<Machine> preferenceList(String image) {
     int found = Arrays.binarySearch(ringPoints, Hashing.of(image));
     int start = found < 0 ? -found - 1 : found;
--- a/src/main/java/dunlincroft/coordination/Scheduler.java
+++ b/src/main/java/dunlincroft/coordination/Scheduler.java
@@ -25,9 +25,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The design's ordinary path: a task goes to the machine at which consistent hashing of its image
- * lands, and clockwise past every machine whose load, with a random extra of at most one task's
- * room, reaches the bound. Load is what the last report and the records since then book.
+ * Places waiting tasks on machines. A task goes to the first suitable machine clockwise from the
+ * hash of its image whose load, plus a random buffer of by default at most one task's resources,
+ * stays within the load bound. The load is what the machine's last report and the placements
+ * recorded since then add up to.
  */
 final class Scheduler {
   private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
@@ -37,19 +38,19 @@
   private final Ledger placementLog;
   private final StartConditions startConditions;
 
-  /** A job that is overdue begins with one in so many of its tasks. */
+  /** An overdue job first starts at most one in this many of its tasks. */
   private static final int OVERDUE_START_DIVISOR = 8;
 
-  /** What has been found to be without room in the present round. */
+  /** Requests that found no machine in the current round. */
   private final List<PlacementRequest> unplaceable = new ArrayList<>();
 
-  /** When the present round began. */
+  /** When the current round began. */
   private long roundStartMs;
 
-  /** Whether any machine has room for anything that waits, in the present round. */
+  /** Whether any waiting task may fit on any machine in the current round. */
   private boolean anyMachineAvailable;
 
-  /** Jobs within their teams' guarantees, looked up now and then. */
+  /** Ids of jobs within their teams' guarantees, refreshed every {@link Constants#WITHIN_MS}. */
   private Set<String> cachedGuaranteedIds = Set.of();
 
   private long nextGuaranteeRefreshMs;
@@ -61,8 +62,8 @@
   }
 
   /**
-   * One round over all waiting work, or over services alone, which cannot wait for the end of a
-   * long round's pause. Returns machines that have new orders to stop tasks.
+   * Runs one round over all waiting work, or over services (rank PROD) alone, which must not wait
+   * for the pause after a long round. Returns the machines on which tasks are to be stopped.
    */
   Set<Machine> place(boolean servicesOnly) {
     long now = cluster.now();
@@ -88,7 +89,7 @@
     }
     reservations.retainWaiting(waiting, servicesOnly);
     if (waiting.isEmpty()) {
-      return machinesWithStops; // As mostly at those who hold no machines.
+      return machinesWithStops; // The usual case on controllers that own no machines.
     }
     Set<String> guaranteedIds = servicesOnly ? Set.of() : guaranteedJobIds();
     sort(waiting, guaranteedIds);
@@ -110,7 +111,8 @@
         placementLog.hasten(job.spec.owner());
       }
       if (job.overdueSince < Long.MAX_VALUE && !job.begun()) {
-        // To begin is enough: a large one must not take the others' turn with all its tasks.
+        // An overdue job only needs to start: if a large one placed all its tasks now, it would
+        // delay the jobs after it.
         maxStarts =
             Math.min(
                 maxStarts, (job.spec.pieces() + OVERDUE_START_DIVISOR - 1) / OVERDUE_START_DIVISOR);
@@ -144,8 +146,8 @@
   }
 
   /**
-   * Marks the machines on which the smallest of the waiting tasks could have room: the others are
-   * passed at a glance by every walk of this round, in which room only becomes less.
+   * Marks the machines on which the smallest waiting task may fit. The rest of the round skips all
+   * other machines cheaply, as free capacity only shrinks within a round.
    */
   private void markAvailableMachines(List<JobRun> waiting) {
     Room smallest = waiting.get(0).spec.room();
@@ -165,8 +167,9 @@
   // ---- order of waiting work ----
 
   /**
-   * Ids of jobs that fit into their team's guarantee together with the team's earlier jobs, read
-   * off the records: a guarantee is the team's, whoever holds its jobs.
+   * Ids of jobs that fit into their team's guarantee together with the team's earlier jobs.
+   * Computed from the records of all shards: a guarantee belongs to the team, whichever nodes own
+   * its jobs.
    */
   private Set<String> guaranteedJobIds() {
     if (roundStartMs >= nextGuaranteeRefreshMs) {
@@ -219,9 +222,10 @@
   }
 
   /**
-   * Whatever comes before a job in rank, guarantee and slack, there is a bound on its waiting: to
-   * begin, and for its last task. Without it a job whose time is lost would be passed for ever by
-   * such as can still be in time, and a large one by small ones.
+   * Whether a job has waited too long for its first start or, once started, for its last task. This
+   * bounds the wait whatever rank, guarantee and slack other jobs have: otherwise a job that has
+   * missed its deadline would starve behind jobs that can still meet theirs, and a large job behind
+   * small ones.
    */
   private static boolean isOverdue(JobRun job, long wallMs) {
     long ageMs = wallMs - job.acceptedAt;
@@ -230,8 +234,9 @@
   }
 
   /**
-   * Seconds that a job may still wait and be in time, by its own deadline and by what the operators
-   * hope for its class. A time that is lost already yields to those that can still be met.
+   * Seconds that a job can still wait and meet its deadline: the earliest of its own deadline, the
+   * end set by start conditions, and the operators' target for its job class. A deadline that can
+   * no longer be met is ignored, so that jobs which can still meet theirs come first.
    */
   private double slack(JobRun job, long wallMs) {
     double ageS = (wallMs - job.acceptedAt) / 1000.0;
@@ -251,9 +256,9 @@
     return slackS;
   }
 
-  // ---- the walk ----
+  // ---- choosing machines ----
 
-  /** What is free for a job's tasks on a machine, or null when the machine is not for them. */
+  /** Free capacity for a job's tasks on a machine, or null if the machine is not suitable. */
   private Room usableCapacity(JobRun job, Machine machine) {
     return machine.mayHave(job.spec.room(), reservedCpu(job, machine)) && isSuitable(job, machine)
         ? freeCapacity(job, machine)
@@ -276,7 +281,7 @@
     return machine.type == null ? 0 : cluster.reservedCpu(machine, job.spec.rank() == Rank.PROD);
   }
 
-  /** Constraints and room of work that found no machine in this round. */
+  /** Constraints and resources of work that found no machine in this round. */
   record PlacementRequest(
       String shard,
       boolean spot,
@@ -290,7 +295,7 @@
       return new PlacementRequest(job.shard, spot, prod, spec.flavours(), spec.hall(), spec.room());
     }
 
-    /** Where this one found nothing, the other finds nothing either. */
+    /** Whether no machine for this request implies that there is none for the other one. */
     boolean covers(PlacementRequest other) {
       return shard.equals(other.shard)
           && spot == other.spot
@@ -301,18 +306,22 @@
     }
   }
 
-  /** Each side's tasks on its own machines; what finds no room there waits for it. */
+  /**
+   * Places the tasks of each migration side on machines of that side; tasks without capacity there
+   * wait.
+   */
   private int placeByMigrationSide(JobRun job, int maxTasks) {
     int placed = 0;
     for (int side : new int[] {Sides.OLD, Sides.NEW}) {
       int waiting = Math.min(maxTasks - placed, job.seek(side));
-      // What is remembered as without room is so for both sides: it says nothing of one.
+      // Unplaceable requests are remembered for both sides together, never for one side alone.
       placed += waiting == 0 ? 0 : placeJob(job, waiting, roundStartMs);
     }
     job.seek(-1);
     return placed;
   }
 
+  /** Places at most {@code maxTasks} tasks of a job. Returns how many it placed. */
   private int placeJob(JobRun job, int maxTasks, long now) {
     if (!anyMachineAvailable) {
       return 0;
@@ -329,7 +338,7 @@
     List<Machine> ordered = candidates(job);
     if (ordered.isEmpty()) {
       if (!job.everFailed && job.sides == null) {
-        unplaceable.add(request); // A job that failed somewhere has fewer machines than its like.
+        unplaceable.add(request); // A job that failed may use fewer machines than similar ones.
       }
       return 0;
     }
@@ -345,7 +354,7 @@
       }
       return placed;
     }
-    // With the random buffer first, then wherever there is exact room.
+    // With the random buffer first, then wherever exactly enough is free.
     for (boolean buffered : new boolean[] {true, false}) {
       for (List<Machine> machineGroup : groupByImageState(job, ordered)) {
         for (Machine machine : machineGroup) {
@@ -360,9 +369,10 @@
   }
 
   /**
-   * A walk by how soon the image can be there; within each, the ring's order. Fetches of several
-   * images share a machine's rate, so that all of them are late: one that fetches already is passed
-   * for one that does not, and only services that have waited begin a second fetch there.
+   * Groups machines by how soon the image can be available there, in the ring's order within each
+   * group. Concurrent fetches share a machine's bandwidth, so that all of them are late: a machine
+   * that is already fetching another image is skipped, except for services that have waited for
+   * some time.
    */
   private Collection<List<Machine>> groupByImageState(JobRun job, List<Machine> ordered) {
     Map<Warmth, List<Machine>> groups = new EnumMap<>(Warmth.class);
@@ -376,10 +386,10 @@
   }
 
   /**
-   * Machines with room for a task, clockwise from the image's hash. Work that may use spot machines
-   * goes there first and to those with services last; services stay together, so that other
-   * machines can be returned, but leave the room that a lost zone's services would need where their
-   * images are.
+   * Machines with free capacity for a task, clockwise from the image's hash. Work that may use spot
+   * machines goes to those first and to machines with services last. Services are packed together,
+   * so that other machines can be returned, but leave the capacity that the services of a lost zone
+   * would need on machines that have their images.
    */
   private List<Machine> candidates(JobRun job) {
     boolean spot = cluster.allowsSpot(job);
@@ -406,12 +416,20 @@
     return preferred;
   }
 
+  /**
+   * Whether a job has waited long enough to fetch its image on a machine that is already fetching
+   * others.
+   */
   private boolean mayStartConcurrentFetch(JobRun job) {
     return job.spec.rank() == Rank.PROD
         && job.waitingSince >= 0
         && roundStartMs - job.waitingSince > Constants.CROWD_AFTER_MS;
   }
 
+  /**
+   * Places as many tasks of a job on a machine as fit there, at most {@code maxTasks}. Returns how
+   * many it placed.
+   */
   private int fill(JobRun job, Machine machine, int maxTasks, boolean buffered, long now) {
     Room free = usableCapacity(job, machine);
     if (free == null) {
@@ -445,7 +463,10 @@
     return fitting;
   }
 
-  /** Replicas: the zone with the fewest of the job's tasks first, then the walk within the zone. */
+  /**
+   * Places one replica: in the zone with the fewest of the job's tasks first, and in the ring's
+   * order within the zone.
+   */
   private boolean placeSpread(JobRun job, Collection<List<Machine>> groups, long now) {
     List<String> zones =
         groups.stream()
@@ -466,7 +487,7 @@
     return false;
   }
 
-  /** Where the job's tasks are already, or the zone in which most of them find room. */
+  /** The zone of the job's placed tasks, or the zone in which most of its tasks fit. */
   private String commonZone(JobRun job, List<Machine> ordered) {
     for (Placement p : job.placed.values()) {
       return p.machine.hall;
@@ -486,7 +507,10 @@
 
   // ---- preemption ----
 
-  /** Stops lesser work where that lets waiting work start: the least lost work first. */
+  /**
+   * Stops work of lower priority where that lets waiting work start, beginning with the least lost
+   * work.
+   */
   private void preempt(
       JobRun job,
       int tasksNeeded,
@@ -504,7 +528,7 @@
     job.nextPreempt = now + (job.spec.rank() == Rank.PROD ? minWaitMs : Constants.PREEMPT_PAUSE_MS);
     reservations.release(job);
     if (job.spec.spread() && job.spec.pieces() > 1) {
-      // Room in a zone that has its part of the job already is no room for it.
+      // Capacity in a zone that already has its maximum of the job's tasks is of no use to the job.
       int remaining = tasksNeeded;
       for (String zone : zonesByTaskCount(job)) {
         int maxTasks = Math.min(remaining, job.spec.zoneMost() - job.perZone.getInt(zone));
@@ -518,7 +542,7 @@
     }
   }
 
-  /** Zones that have machines, those with the fewest tasks of a job first. */
+  /** Zones of all machine types, those with the fewest tasks of a job first. */
   private List<String> zonesByTaskCount(JobRun job) {
     return cluster.machineTypes.values().stream()
         .flatMap(type -> type.halls().stream())
@@ -527,7 +551,10 @@
         .toList();
   }
 
-  /** The same in one zone, or (null) in all. Returns how many tasks have or get room there. */
+  /**
+   * Preempts in one zone, or in all zones if {@code zone} is null. Returns how many tasks have
+   * capacity there or will have it.
+   */
   private int preemptIn(
       String zone,
       JobRun job,
@@ -535,7 +562,8 @@
       boolean guaranteed,
       Set<String> guaranteedIds,
       Set<Machine> machinesWithStops) {
-    // Of thousands that could be, the few that are needed: the worst of those kept is on top.
+    // Keeps only as many of the possibly thousands of evictions as are needed, with the most
+    // expensive one on top.
     PriorityQueue<Eviction> evictions =
         new PriorityQueue<>(Comparator.comparingLong(eviction -> -eviction.cost));
     int remaining = tasksNeeded;
@@ -554,7 +582,7 @@
     for (Eviction eviction : evictions) {
       for (Placement p : eviction.victims) {
         LOG.info(
-            "{} on host {} is stopped to make room for job {} ({})",
+            "{} on host {} is preempted for job {} ({})",
             p.taskName(),
             p.machine.host,
             job.id,
@@ -569,16 +597,17 @@
   }
 
   /**
-   * Tasks of one machine whose room, with what is free or on its way there, lets one more task of a
-   * job start. Room in pieces on several machines would serve nobody but those who wait for less,
-   * and be stopped for again.
+   * Tasks of one machine whose resources, together with what is free or being freed there, let one
+   * more task of a job start. Smaller amounts freed on several machines would be used by jobs that
+   * wait for less, and the job would have to preempt again.
    */
   private record Eviction(List<Placement> victims, long cost) {}
 
   /**
-   * What an eviction costs, for comparison alone: work of lower rank first, for services before
-   * that where the image is, as a fetch makes one wait for longer than any work that yields to it
-   * takes to be redone; then what is lost.
+   * Cost of an eviction, for comparison only. Work of lower rank is cheaper. For services, a
+   * machine that has the image is preferred before rank is compared, because a fetch delays the
+   * service longer than redoing any work that yields to it takes. The lost work decides between
+   * equals.
    */
   private static long cost(JobRun job, Rank rank, boolean hasImage, long lostMs) {
     long rankPenalty = Rank.values().length - 1 - rank.ordinal();
@@ -590,12 +619,13 @@
     return (order << LOST_WORK_BITS) + Math.min(lostMs, (1L << LOST_WORK_BITS) - 1);
   }
 
-  /** Milliseconds of work lost that a comparison tells apart: some years. */
+  /** Bits for the milliseconds of lost work in a cost, which is enough for some years. */
   private static final int LOST_WORK_BITS = 40;
 
   /**
-   * Adds what stopping work on a machine can do for a job, task by task, the least loss first.
-   * Returns how many tasks of it have room there without that. Of all, {@code most} are kept.
+   * Adds evictions on a machine that let tasks of a job start, one for each task, with the least
+   * loss first, and keeps the {@code maxTasks} cheapest of all. Returns how many tasks fit there
+   * without evictions.
    */
   private int addEvictions(
       JobRun job,
@@ -648,6 +678,11 @@
     return fittingTasks;
   }
 
+  /**
+   * Whether a placed task may be stopped for a job. Jobs of rank PROD may stop any lower rank; jobs
+   * within their team's guarantee may stop tasks of other teams that are outside those teams'
+   * guarantees and lose little work. Services are never stopped.
+   */
   private boolean mayPreempt(
       JobRun job, boolean guaranteed, Placement p, Set<String> guaranteedIds, long now) {
     JobSpec victimSpec = p.job.spec;
@@ -669,7 +704,10 @@
     return p.job.spec.snapshotS() > 0;
   }
 
-  /** Milliseconds of work that stopping a task now costs; one that saves loses only its saving. */
+  /**
+   * Milliseconds of work that stopping a task now loses; a task that saves its state loses only the
+   * time to save it.
+   */
   private static long lostWorkMs(Placement p, long now) {
     return canSaveState(p) ? (long) (p.job.spec.flushS() * 1000) : now - p.placedAtMs;
   }
--- a/src/main/java/dunlincroft/coordination/ShareHandover.java
+++ b/src/main/java/dunlincroft/coordination/ShareHandover.java
@@ -24,13 +24,14 @@
 import java.util.TreeMap;
 
 /**
- * Gives unused parts of team limits to the shards whose waiting tasks lack them, as {@link
- * SharePlan} decides from the records. Only a shard's owner gives its part away, with one write
- * guarded by its shard and by the record of the team's parts; until the outcome is known, nobody
- * uses what was offered.
+ * Transfers unused shares of team limits to the shards whose waiting tasks lack them, as {@link
+ * SharePlan} decides from the records. Only the owner of a shard gives away its share, in one write
+ * guarded by the shard's record and by the record of the team's shares; until the outcome is known,
+ * nobody uses the resources offered.
  *
- * <p>Each owner writes at most one change in {@code SHARES_MS} for each owner there is: so many
- * owners together write one change in {@code SHARES_MS}, however many teams and jobs there are.
+ * <p>Each owner writes at most one change in {@link Constants#SHARES_MS} times the number of
+ * owners, so that all owners together write at most one change in that time, however many teams and
+ * jobs there are.
  */
 final class ShareHandover {
   /** Services first, then by age: the same order at every owner. */
@@ -39,7 +40,10 @@
           .thenComparingLong(job -> job.acceptedAt)
           .thenComparing(job -> job.spec.ref());
 
-  /** What was last seen of a team's record: who gives second waits for the first. */
+  /**
+   * The last observed stamp of a team's record and when it was first seen: after each change, the
+   * owners that are to give wait for their turn.
+   */
   private record ObservedStamp(long stamp, long sinceMs) {}
 
   private final ClusterState cluster;
@@ -49,7 +53,7 @@
   private final Map<String, ObservedStamp> observedStamps = new HashMap<>();
   private long nextWriteMs;
 
-  /** The team that is looked at first. */
+  /** Index of the team that is checked first. */
   private int firstTeam;
 
   ShareHandover(ClusterState cluster, Demand demand, HandoverWriter writer) {
@@ -60,9 +64,9 @@
   }
 
   /**
-   * One look at all teams, at most one change.
+   * Checks all teams and writes at most one change.
    *
-   * @param owners how many nodes share the bound on changes
+   * @param owners number of owners that share the limit on changes
    */
   void tick(int owners, RecordedCapacity capacity) {
     List<Settings.Team> teams = List.copyOf(cluster.settings.teams().values());
@@ -86,7 +90,7 @@
     }
   }
 
-  /** Jobs with tasks that wait, by team, in the order in which they are served. */
+  /** Jobs with waiting tasks, by team, in the order in which they are served. */
   private Map<String, List<JobIndex.Job>> waitingByTeam() {
     Map<String, List<JobIndex.Job>> waitingJobs = new HashMap<>();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
@@ -103,7 +107,7 @@
 
   // ---- the plan ----
 
-  /** What the plan wants of one of our shards now. */
+  /** Transfers that the plan asks of one of this node's shards now. */
   private List<Transfer> transfersFromOwnShard(
       String team, Item item, List<JobIndex.Job> waitingJobs, RecordedCapacity capacity) {
     Map<String, Room> shares = recordedShares(item.data());
@@ -148,7 +152,10 @@
     return shares;
   }
 
-  /** Of our own shards we know also what is not recorded yet; of others what is recorded. */
+  /**
+   * Resources that a team's tasks use, by shard: including unrecorded placements for shards of this
+   * node, as recorded for all others.
+   */
   private Map<String, Room> usageByShard(String team, Set<String> shards) {
     Map<String, Room> usage = new HashMap<>();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
@@ -164,7 +171,7 @@
     return usage;
   }
 
-  /** Waiting tasks that machines of their shard have room for, as far as is known. */
+  /** Waiting tasks that fit on machines of their shard, as far as is known. */
   private List<ShareRequest> claims(
       List<JobIndex.Job> waitingJobs,
       Map<String, Room> shares,
@@ -192,13 +199,13 @@
     return new Room(resources.cpu(), resources.gpu(), 0);
   }
 
-  // ---- the change ----
+  // ---- the write ----
 
   private static String outgoingKey(String team, String shard) {
     return team + "/" + shard;
   }
 
-  /** Writes what one shard gives of a team's limit. */
+  /** Writes the transfers of a team's limit from one shard. */
   private void writeTransfers(String team, Item item, List<Transfer> ownTransfers) {
     String from = ownTransfers.get(0).from();
     String key = Wire.key(Replica.SHARES, team);
--- a/src/main/java/dunlincroft/coordination/StartConditions.java
+++ b/src/main/java/dunlincroft/coordination/StartConditions.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * Holds jobs to what conditions say of them: when their tasks may start, what a start is guarded
- * by, and when they must be gone. Without an active condition it does nothing.
+ * Applies start conditions to jobs: when their tasks may start, which records guard a start, and
+ * when tasks must have ended. Does nothing while no condition is active.
  */
 final class StartConditions {
   private final ClusterState cluster;
@@ -19,7 +19,10 @@
     this.cluster = cluster;
   }
 
-  /** Whether a job may start tasks now. Starts that an older state allowed are taken back. */
+  /**
+   * Whether a job may start tasks now. Withdraws starts that were decided under other guards and
+   * are not recorded yet.
+   */
   boolean mayStart(JobRun job) {
     if (!cluster.conditions.active()) {
       return true;
@@ -35,7 +38,10 @@
     return decision.start();
   }
 
-  /** Whether what a job's starts were decided by still holds, as far as we know. */
+  /**
+   * Whether the records that a job's starts were decided by are unchanged, as far as the replica
+   * shows.
+   */
   boolean guardsHold(JobRun job) {
     for (Map.Entry<String, Long> guard : job.guards.entrySet()) {
       if (cluster.replica.stampOf(guard.getKey()) != guard.getValue()) {
@@ -46,9 +52,10 @@
   }
 
   /**
-   * Moves one replica of a service to its side: one at a time, while all others run and there is
-   * room for it where it goes. A task can be on one machine only, so it is away for as long as it
-   * takes to start. Tasks of arrays end where they are. What has not begun yet moves at once.
+   * Moves one replica of a service to its migration side: one at a time, while all others run and a
+   * machine of its side has free capacity. A task can be on one machine only, so the replica is
+   * unavailable until it has started again. Tasks of batch arrays run to their end where they are.
+   * Tasks that do not run yet are moved at once. Returns how many tasks are to be stopped.
    */
   private int moveOneReplica(JobRun job, Set<Machine> machinesWithStops) {
     Placement candidate = null;
@@ -76,6 +83,7 @@
     return 1;
   }
 
+  /** Whether a machine of a replica's migration side has free capacity for it. */
   private boolean hasCapacityToMove(JobRun job, Placement p) {
     job.seek(job.sides.of(p.task));
     boolean found = false;
@@ -95,8 +103,9 @@
   }
 
   /**
-   * Ends what is over: tasks that have not begun never do, those that run are stopped as their
-   * condition wants. Returns machines that have new orders.
+   * Stops tasks whose start conditions have ended: those that do not run yet in any case, running
+   * ones as their condition demands. Also moves replicas to their migration side. Returns the
+   * machines on which tasks are to be stopped.
    */
   Set<Machine> stopEnded() {
     Set<Machine> machinesWithStops = new LinkedHashSet<>();
--- a/src/main/java/dunlincroft/coordination/ZoneOutageDetector.java
+++ b/src/main/java/dunlincroft/coordination/ZoneOutageDetector.java
@@ -11,16 +11,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells a zone that is cut off from a fault of ours: its machines and its controllers are silent,
- * while those of all other zones are heard. Its workers kill their tasks once their lease is over,
- * and not before: until shortly before that, waiting loses nothing, and after it nothing is left to
- * lose. So what services need is started elsewhere in the second half of the lease, machine by
- * machine; a cut that ends sooner, or a wrong guess, has cost little or nothing.
+ * Distinguishes a zone that is cut off from a fault of this node: the zone's machines and
+ * controllers are silent while those of all other zones are reachable. Its workers kill their tasks
+ * when their lease expires, and not before. Until shortly before that, waiting loses nothing;
+ * afterwards nothing is left to lose. Services are therefore replaced in the second half of the
+ * lease, machine by machine, so that an outage that ends earlier, or a false detection, costs
+ * little or nothing.
  */
 final class ZoneOutageDetector {
   private static final Logger LOG = LoggerFactory.getLogger(ZoneOutageDetector.class);
 
-  /** How many machines of a zone are heard, and how many are not. */
+  /** Numbers of reachable and silent machines of a zone. */
   private static final class Reachability {
     int reachable;
     int silent;
@@ -34,7 +35,9 @@
   private final Membership membership;
   private final Set<String> cutOffZones = new HashSet<>();
 
-  /** Zones whose cut is over: their machines come back one by one. */
+  /**
+   * Zones whose outage is over, and until when their machines are expected to return one by one.
+   */
   private final Map<String, Long> recoveringUntilMs = new HashMap<>();
 
   private int reachableMachines;
@@ -45,7 +48,7 @@
     this.membership = membership;
   }
 
-  /** Looks at all machines; called before a look at each. */
+  /** Updates the state of all zones; called before the machines are checked one by one. */
   void tick() {
     Map<String, Reachability> zones = new HashMap<>();
     long suspectMs = cluster.reportIntervalsMs(Constants.SUSPECT_REPORTS);
@@ -62,17 +65,20 @@
     zones.forEach(
         (zone, reachability) -> {
           boolean wasCutOff = cutOffZones.contains(zone);
-          // It must be clear to begin with, and it is over as soon as half of them are heard.
+          // An outage begins only on clear evidence, and ends once half of the machines are
+          // reachable.
           if (!wasCutOff && outageBegins(zone, reachability, zones)) {
             LOG.info(
-                "zone {} is cut off: {} of its {} machines are silent, those of others are heard",
+                "zone {} is cut off: {} of its {} machines are silent, other zones are reachable",
                 zone,
                 reachability.silent,
                 reachability.silent + reachability.reachable);
             cutOffZones.add(zone);
           } else if (wasCutOff && reachability.reachable >= reachability.silent) {
             LOG.info(
-                "zone {} is not cut off any more: {} machines heard", zone, reachability.reachable);
+                "zone {} is not cut off any more: {} machines reachable",
+                zone,
+                reachability.reachable);
             cutOffZones.remove(zone);
             recoveringUntilMs.put(
                 zone, cluster.now() + cluster.reportIntervalsMs(Constants.DEAD_REPORTS));
@@ -86,10 +92,15 @@
             .filter(zone -> !cutOffZones.contains(zone.getKey()))
             .mapToInt(zone -> zone.getValue().silent)
             .sum();
-    // Many silent at once: rather a fault of ours than so many dead machines.
+    // With many machines silent at once, a fault of this node is more likely than that many dead
+    // machines.
     manySilent = silent > 2 && silent * 3 > reachableMachines + silent;
   }
 
+  /**
+   * Whether most machines of a zone and its controllers are silent, while most machines of every
+   * other zone are reachable.
+   */
   private boolean outageBegins(
       String zone, Reachability reachability, Map<String, Reachability> zones) {
     return reachability.silent >= Constants.ZONE_LEAST
@@ -103,12 +114,12 @@
         && membership.isOnlySilentZone(zone);
   }
 
-  /** Whether a zone is cut off: nothing is rented there meanwhile. */
+  /** Whether a zone is cut off; no machines are rented there meanwhile. */
   boolean isCutOff(String zone) {
     return cutOffZones.contains(zone);
   }
 
-  /** Whether any machine is heard at all. */
+  /** Whether any machine is reachable at all. */
   boolean isAnyMachineReachable() {
     return reachableMachines > 0;
   }
@@ -124,12 +135,13 @@
     }
     long leaseMs = (long) (cluster.settings.leaseS() * 1000);
     if (!machine.hasDaemon()) {
-      // What it ran is lost with its lease. From then on it is waited for as long as a new one in
-      // its place would take to boot: a cut may last as long again, or be over at once.
+      // Its tasks are lost when its lease expires. Afterwards the machine is kept for as long as a
+      // replacement would take to boot: the outage may last that long, or end at any moment.
       long bootMs = machine.type == null ? 0 : (long) (machine.type.startupS() * 1000);
       return Math.max(cluster.reportIntervalsMs(Constants.DEAD_MANY_REPORTS), leaseMs + bootMs);
     }
-    // Not all at once: their images are fetched by few machines, which share their rate.
+    // Releases are spread out, as the images of the services are fetched by few machines, whose
+    // bandwidth is shared.
     long answeredMs =
         membership.isAcquiredFrom(machine.shard, machine.hall) ? cluster.maxCancellationLagMs() : 0;
     long latestMs = leaseMs + answeredMs - Constants.ZONE_LEAD_MS;
@@ -140,8 +152,8 @@
   }
 
   /**
-   * Milliseconds for which a machine has been silent. One that we never heard has been at least as
-   * long as the controllers of its zone, if that is cut off.
+   * Milliseconds for which a machine has been silent. If its zone is cut off and it has never
+   * reported to this node, it counts as silent for at least as long as the zone's controllers.
    */
   long silentMs(Machine machine) {
     long ownSilenceMs = cluster.now() - machine.session.lastHeardMs();
