--- a/src/main/java/dunlincroft/OperatorCommands.java
+++ b/src/main/java/dunlincroft/OperatorCommands.java
@@ -6,7 +6,7 @@
 import dunlincroft.calendar.SettlementCalendar;
 import dunlincroft.documents.DocumentStore;
 import dunlincroft.documents.Documents.Version;
-import dunlincroft.documents.PoliteService;
+import dunlincroft.documents.RateLimitedStateClient;
 import dunlincroft.migration.MigrationLedger;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.Malformed;
@@ -31,7 +31,7 @@
   private OperatorCommands() {}
 
   private interface Work {
-    void run() throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Overtaken;
+    void run() throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Conflict;
   }
 
   /** 0 when it went well, 2 for a fault in what was given, 1 for all else; faults go to stderr. */
@@ -45,7 +45,7 @@
     } catch (IOException e) {
       System.err.println("cannot be read: " + e.getMessage());
       return FAULTY;
-    } catch (DocumentStore.Unreachable | DocumentStore.Overtaken e) {
+    } catch (DocumentStore.Unreachable | DocumentStore.Conflict e) {
       System.err.println(e.getMessage());
       return FAILED;
     }
@@ -69,8 +69,8 @@
       return Settings.parse(Files.readString(config));
     }
 
-    PoliteService service() throws Malformed, IOException {
-      return new PoliteService(settings().state());
+    RateLimitedStateClient service() throws Malformed, IOException {
+      return new RateLimitedStateClient(settings().state());
     }
 
     DocumentStore store() throws Malformed, IOException {
@@ -80,7 +80,7 @@
     }
 
     abstract void work()
-        throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Overtaken;
+        throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Conflict;
 
     @Override
     public Integer call() {
@@ -142,7 +142,7 @@
     private String by = System.getProperty("user.name", "");
 
     @Override
-    void work() throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Overtaken {
+    void work() throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Conflict {
       String text = Files.readString(file);
       check(name, text);
       long number = store().put(name, text, by, System.currentTimeMillis());
@@ -182,7 +182,11 @@
     void work() throws Malformed, IOException, DocumentStore.Unreachable {
       for (Version version : store().history(name)) {
         System.out.println(
-            version.number() + " " + Instant.ofEpochMilli(version.atMs()) + " " + version.by());
+            version.number()
+                + " "
+                + Instant.ofEpochMilli(version.createdAtMs())
+                + " "
+                + version.author());
       }
     }
   }
@@ -200,7 +204,7 @@
     private Long number;
 
     @Override
-    void work() throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Overtaken {
+    void work() throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Conflict {
       DocumentStore store = store();
       String text = store.text(name, named(store.history(name), name, number));
       check(name, text);
@@ -263,7 +267,7 @@
     private String by = System.getProperty("user.name", "");
 
     @Override
-    void work() throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Overtaken {
+    void work() throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Conflict {
       String key = MigrationLedger.askKey(workload);
       store().create(workload, key, Cbor.map().put("ask", ask.name()).put("by", by));
       System.out.println("asked; see: migration history " + workload);
@@ -316,10 +320,11 @@
     }
   }
 
-  private static void print(PoliteService service, String under, Function<JsonNode, String> line)
+  private static void print(
+      RateLimitedStateClient service, String under, Function<JsonNode, String> line)
       throws DocumentStore.Unreachable {
     DocumentStore.Answer answer =
-        service.ask("GET", Wire.KEYS + "?under=" + under + "&most=" + Constants.KEY_PAGE, null);
+        service.call("GET", Wire.KEYS + "?under=" + under + "&most=" + Constants.KEY_PAGE, null);
     for (JsonNode item : answer.body().path("items")) {
       System.out.println(
           item.path("key").asText().substring(under.length())
--- a/src/main/java/dunlincroft/bookkeeping/BlockIndex.java
+++ b/src/main/java/dunlincroft/bookkeeping/BlockIndex.java
@@ -36,7 +36,7 @@
   }
 
   /** The block that a machine is in, or null. */
-  public Block of(String host) {
+  public Block blockOf(String host) {
     return byHost.get(host);
   }
 
@@ -50,14 +50,14 @@
   }
 
   /** Follows a change of the replica; returns the machines whose block changed. */
-  public Set<String> changed(String name) {
-    Set<String> touched = new LinkedHashSet<>();
-    Block before = byName.remove(name);
-    if (before != null) {
-      for (String host : before.record.hosts().keySet()) {
+  public Set<String> onChange(String name) {
+    Set<String> affected = new LinkedHashSet<>();
+    Block previous = byName.remove(name);
+    if (previous != null) {
+      for (String host : previous.record.hosts().keySet()) {
         // A machine that was handed on may stand in its new block already.
-        if (byHost.remove(host, before)) {
-          touched.add(host);
+        if (byHost.remove(host, previous)) {
+          affected.add(host);
         }
       }
     }
@@ -68,12 +68,12 @@
         byName.put(name, block);
         for (String host : block.record.hosts().keySet()) {
           byHost.put(host, block);
-          touched.add(host);
+          affected.add(host);
         }
       } catch (Malformed e) {
         LOG.error("record {}/{} cannot be read: {}", Replica.BLOCKS, name, e.getMessage());
       }
     }
-    return touched;
+    return affected;
   }
 }
--- a/src/main/java/dunlincroft/bookkeeping/Feed.java
+++ b/src/main/java/dunlincroft/bookkeeping/ChangeFeed.java
@@ -15,27 +15,27 @@
 import org.slf4j.LoggerFactory;
 
 /** Keeps the replica current: first reading, watch, read barriers, and rereading after a 410. */
-public final class Feed {
-  private static final Logger LOG = LoggerFactory.getLogger(Feed.class);
+public final class ChangeFeed {
+  private static final Logger LOG = LoggerFactory.getLogger(ChangeFeed.class);
 
   private final Env env;
   private final StateStore store;
   private final Replica replica;
   private final Runnable onSynced;
   private boolean synced;
-  private long currentAt;
-  private List<Consumer<Boolean>> waiting = new ArrayList<>();
-  private boolean barrierOut;
-  private boolean barrierDue;
-  private long lastBarrier;
-  private long pauseMs = Constants.WATCH_CALM_MS;
-
-  public Feed(Env env, StateStore store, Replica replica, Runnable onSynced) {
+  private long currentAsOf;
+  private List<Consumer<Boolean>> barrierWaiters = new ArrayList<>();
+  private boolean barrierInFlight;
+  private boolean barrierScheduled;
+  private long lastBarrierAt;
+  private long watchPauseMs = Constants.WATCH_CALM_MS;
+
+  public ChangeFeed(Env env, StateStore store, Replica replica, Runnable onSynced) {
     this.env = env;
     this.store = store;
     this.replica = replica;
     this.onSynced = onSynced;
-    this.currentAt = env.nowMillis();
+    this.currentAsOf = env.nowMillis();
   }
 
   /** True once a complete reading has been made and not been overtaken by a 410. */
@@ -44,54 +44,55 @@
   }
 
   /** Sets the pause between watches: short for who must see new jobs at once. */
-  public void pause(long ms) {
-    pauseMs = ms;
+  public void setWatchPause(long ms) {
+    watchPauseMs = ms;
   }
 
   /** A moment by our steady clock at which the replica was certainly current. */
-  public long currentAt() {
-    return currentAt;
+  public long currentAsOf() {
+    return currentAsOf;
   }
 
   /** Milliseconds since a moment at which the replica was certainly current. */
-  public long silentMs() {
-    return env.nowMillis() - currentAt;
+  public long stalenessMs() {
+    return env.nowMillis() - currentAsOf;
   }
 
   public void start() {
-    read(null, new HashSet<>(), -1, env.nowMillis());
+    readPage(null, new HashSet<>(), -1, env.nowMillis());
   }
 
   private void restart(long delayMs) {
     env.after(delayMs + env.random().nextInt(200), this::start);
   }
 
-  private void read(String after, Set<String> keys, long from, long startedAt) {
+  private void readPage(String afterKey, Set<String> keys, long baseRevision, long startedAt) {
     store.list(
-        after,
+        afterKey,
         answer -> {
           try {
             if (answer.status() != 200) {
               restart(300);
               return;
             }
-            long epoch = Fields.count(answer.body(), "epoch");
-            long first = from < 0 ? epoch : from;
-            String last = after;
+            long revision = Fields.count(answer.body(), "epoch");
+            long listRevision = baseRevision < 0 ? revision : baseRevision;
+            String lastKey = afterKey;
             for (JsonNode item : Fields.list(answer.body(), "items")) {
-              last = Fields.text(item, "key");
-              keys.add(last);
-              replica.put(last, item.get("data"), Fields.count(item, "stamp"));
+              lastKey = Fields.text(item, "key");
+              keys.add(lastKey);
+              replica.put(lastKey, item.get("data"), Fields.count(item, "stamp"));
             }
             if (Fields.flag(answer.body(), "hasNext")) {
-              read(last, keys, first, startedAt);
+              readPage(lastKey, keys, listRevision, startedAt);
               return;
             }
-            replica.retain(keys, first);
-            replica.epoch(first);
-            currentAt = startedAt;
+            replica.retain(keys, listRevision);
+            replica.revision(listRevision);
+            currentAsOf = startedAt;
             synced = true;
-            LOG.info("read the state service up to revision {}, {} keys", first, keys.size());
+            LOG.info(
+                "read the state service up to revision {}, {} keys", listRevision, keys.size());
             onSynced.run();
             watch();
           } catch (Malformed e) {
@@ -102,9 +103,9 @@
   }
 
   private void watch() {
-    long asked = env.nowMillis();
+    long requestedAt = env.nowMillis();
     store.changes(
-        replica.epoch(),
+        replica.revision(),
         Constants.WATCH_BLOCK_MS,
         answer -> {
           if (answer.status() == 410) {
@@ -114,19 +115,19 @@
             start();
             return;
           }
-          boolean ok = apply(answer, asked);
-          env.after(ok ? pauseMs : Constants.WATCH_CALM_MS, this::watch);
+          boolean ok = apply(answer, requestedAt);
+          env.after(ok ? watchPauseMs : Constants.WATCH_CALM_MS, this::watch);
         });
   }
 
-  private boolean apply(Answer answer, long asked) {
+  private boolean apply(Answer answer, long requestedAt) {
     if (answer.status() != 200) {
       return false;
     }
     try {
       for (JsonNode event : Fields.list(answer.body(), "events")) {
         long stamp = Fields.count(event, "stamp");
-        if (stamp <= replica.epoch()) {
+        if (stamp <= replica.revision()) {
           // Watch and barrier overtake each other: what the other one brought is here already, and
           // what it removed would come back.
           continue;
@@ -137,8 +138,8 @@
           replica.remove(Fields.text(event, "remove"), stamp);
         }
       }
-      replica.epoch(Fields.count(answer.body(), "epoch"));
-      currentAt = Math.max(currentAt, asked);
+      replica.revision(Fields.count(answer.body(), "epoch"));
+      currentAsOf = Math.max(currentAsOf, requestedAt);
       return true;
     } catch (Malformed e) {
       LOG.info("state service changes: {}", e.getMessage());
@@ -151,38 +152,38 @@
    * call. All that wait share one request, sent after they came.
    */
   public void barrier(Consumer<Boolean> then) {
-    waiting.add(then);
-    barrierSoon();
+    barrierWaiters.add(then);
+    scheduleBarrier();
   }
 
-  private void barrierSoon() {
-    if (barrierOut || barrierDue) {
+  private void scheduleBarrier() {
+    if (barrierInFlight || barrierScheduled) {
       return;
     }
-    barrierDue = true;
-    long delay = Math.max(0, lastBarrier + Constants.BARRIER_PAUSE_MS - env.nowMillis());
+    barrierScheduled = true;
+    long delay = Math.max(0, lastBarrierAt + Constants.BARRIER_PAUSE_MS - env.nowMillis());
     env.after(
         delay,
         () -> {
-          barrierDue = false;
+          barrierScheduled = false;
           sendBarrier();
         });
   }
 
   private void sendBarrier() {
-    List<Consumer<Boolean>> served = waiting;
-    waiting = new ArrayList<>();
-    barrierOut = true;
-    lastBarrier = env.nowMillis();
+    List<Consumer<Boolean>> waiters = barrierWaiters;
+    barrierWaiters = new ArrayList<>();
+    barrierInFlight = true;
+    lastBarrierAt = env.nowMillis();
     store.changes(
-        replica.epoch(),
+        replica.revision(),
         0,
         answer -> {
-          barrierOut = false;
-          boolean ok = synced && apply(answer, lastBarrier);
-          served.forEach(then -> then.accept(ok));
-          if (!waiting.isEmpty()) {
-            barrierSoon();
+          barrierInFlight = false;
+          boolean ok = synced && apply(answer, lastBarrierAt);
+          waiters.forEach(then -> then.accept(ok));
+          if (!barrierWaiters.isEmpty()) {
+            scheduleBarrier();
           }
         });
   }
--- a/src/main/java/dunlincroft/bookkeeping/JobIndex.java
+++ b/src/main/java/dunlincroft/bookkeeping/JobIndex.java
@@ -32,12 +32,12 @@
   private static final Logger LOG = LoggerFactory.getLogger(JobIndex.class);
 
   /** What is recorded of a run of a job's tasks besides their state. */
-  private static final class Page {
+  private static final class PageLog {
     /** The page holds all entries up to this number. */
-    private long upTo;
+    private long coveredUpTo;
 
     /** The first entry that it does not hold; 0: none. */
-    private long oldest;
+    private long oldestUncovered;
   }
 
   /** A recorded job. */
@@ -46,14 +46,14 @@
     public final String shard;
     public final int pageTasks;
     public final long acceptedAt;
-    private final BitSet done = new BitSet();
+    private final BitSet doneTasks = new BitSet();
     private final Int2ObjectOpenHashMap<Place> places = new Int2ObjectOpenHashMap<>();
-    private final Int2ObjectOpenHashMap<Page> pages = new Int2ObjectOpenHashMap<>();
+    private final Int2ObjectOpenHashMap<PageLog> pages = new Int2ObjectOpenHashMap<>();
     private int doneCount;
     private boolean faulty;
 
     /** The newest record that said whether the job is faulty. */
-    private long faultySaid;
+    private long faultyAsOf;
 
     Job(JobSpec spec, String shard, int pageTasks, long acceptedAt) {
       this.spec = spec;
@@ -68,10 +68,10 @@
     }
 
     public BitSet doneTasks() {
-      return done;
+      return doneTasks;
     }
 
-    public int done() {
+    public int doneCount() {
       return doneCount;
     }
 
@@ -83,26 +83,26 @@
     /**
      * Tasks that wait or run, as far as machines are concerned: a faulty job gets one at a time.
      */
-    public int wanted() {
-      int open = spec.pieces() - doneCount;
-      return faulty ? Math.min(open, placed() + 1) : open;
+    public int runnableTasks() {
+      int unfinished = spec.pieces() - doneCount;
+      return faulty ? Math.min(unfinished, placedCount() + 1) : unfinished;
     }
 
-    private void faulty(long number, boolean said) {
-      if (number >= faultySaid) {
-        faulty = said;
-        faultySaid = number;
+    private void faulty(long number, boolean value) {
+      if (number >= faultyAsOf) {
+        faulty = value;
+        faultyAsOf = number;
       }
     }
 
-    public int placed() {
+    public int placedCount() {
       return places.size();
     }
 
     /** The first entry of the log that the page does not hold yet; 0: none. */
-    public long oldest(int page) {
-      Page there = pages.get(page);
-      return there == null ? 0 : there.oldest;
+    public long oldestUncovered(int page) {
+      PageLog pageLog = pages.get(page);
+      return pageLog == null ? 0 : pageLog.oldestUncovered;
     }
 
     /** Pages of which something is recorded. */
@@ -110,12 +110,12 @@
       return pages.keySet();
     }
 
-    private Page page(int number) {
-      return pages.computeIfAbsent(number, n -> new Page());
+    private PageLog pageLog(int number) {
+      return pages.computeIfAbsent(number, n -> new PageLog());
     }
 
-    private void set(int task, boolean isDone, Place place) {
-      done.set(task, isDone);
+    private void setTask(int task, boolean isDone, Place place) {
+      doneTasks.set(task, isDone);
       if (place == null) {
         places.remove(task);
       } else {
@@ -124,24 +124,24 @@
     }
 
     /** Puts a page in the place of what was known of its tasks. */
-    private void reset(int number, PageRecord record) {
+    private void resetPage(int number, PageRecord record) {
       int first = number * pageTasks;
       int end = Math.min(first + pageTasks, spec.pieces());
       for (int task = first; task < end; task++) {
-        set(task, record != null && record.state().done().get(task - first), null);
+        setTask(task, record != null && record.state().done().get(task - first), null);
       }
       if (record == null) {
         pages.remove(number);
       } else {
         for (Place place : record.state().places()) {
           int task = first + place.task();
-          set(task, false, new Place(task, place.host(), place.attempt()));
+          setTask(task, false, new Place(task, place.host(), place.attempt()));
         }
         faulty(record.upTo(), record.state().faulty());
-        page(number).upTo = record.upTo();
-        page(number).oldest = 0;
+        pageLog(number).coveredUpTo = record.upTo();
+        pageLog(number).oldestUncovered = 0;
       }
-      doneCount = done.cardinality();
+      doneCount = doneTasks.cardinality();
     }
 
     /** Puts an entry on top, as far as the pages do not hold it. */
@@ -151,14 +151,14 @@
       state.done().stream().forEach(task -> apply(entry.number(), task, true, null));
       state.waiting().stream().forEach(task -> apply(entry.number(), task, false, null));
       state.places().forEach(place -> apply(entry.number(), place.task(), false, place));
-      doneCount = done.cardinality();
+      doneCount = doneTasks.cardinality();
     }
 
     private void apply(long number, int task, boolean isDone, Place place) {
-      Page page = page(task / pageTasks);
-      if (number > page.upTo && task < spec.pieces()) {
-        set(task, isDone, place);
-        page.oldest = page.oldest == 0 ? number : page.oldest;
+      PageLog page = pageLog(task / pageTasks);
+      if (number > page.coveredUpTo && task < spec.pieces()) {
+        setTask(task, isDone, place);
+        page.oldestUncovered = page.oldestUncovered == 0 ? number : page.oldestUncovered;
       }
     }
   }
@@ -167,12 +167,12 @@
   private final Map<String, Job> jobs = new Object2ObjectLinkedOpenHashMap<>();
 
   /** The number of the last entry taken in, by shard; and by slot. */
-  private final Object2LongOpenHashMap<String> applied = new Object2LongOpenHashMap<>();
+  private final Object2LongOpenHashMap<String> lastEntryByShard = new Object2LongOpenHashMap<>();
 
-  private final Object2LongOpenHashMap<String> seen = new Object2LongOpenHashMap<>();
+  private final Object2LongOpenHashMap<String> lastEntryBySlot = new Object2LongOpenHashMap<>();
 
   /** Jobs that the log spoke of before their descriptions were seen, as in a first reading. */
-  private final Set<String> spokenOf = new HashSet<>();
+  private final Set<String> awaitingRecord = new HashSet<>();
 
   /** Names of jobs and shards of which a record cannot be read: nobody may guess what it says. */
   private final Set<String> unreadable = new HashSet<>();
@@ -190,17 +190,17 @@
   }
 
   /** The number of the last entry in a shard's log. */
-  public long lastNumber(String shard) {
-    return applied.getLong(shard);
+  public long lastEntryNumber(String shard) {
+    return lastEntryByShard.getLong(shard);
   }
 
   /** Whether all that is recorded of a job could be read; only then may it be run. */
-  public boolean readable(String id, String shard) {
+  public boolean isReadable(String id, String shard) {
     return !unreadable.contains(id) && !unreadable.contains(shard);
   }
 
   /** The job's record as it is written at acceptance. */
-  public static ObjectNode record(JobSpec spec, String shard, int pageTasks, long acceptedAt) {
+  public static ObjectNode newRecord(JobSpec spec, String shard, int pageTasks, long acceptedAt) {
     return spec.toNode()
         .put("shard", shard)
         .put("pageTasks", pageTasks)
@@ -217,12 +217,12 @@
     return shard + "/" + slot;
   }
 
-  private static String owner(String name) {
+  private static String parentOf(String name) {
     return name.substring(0, name.lastIndexOf('/'));
   }
 
   /** Follows a change of the replica. */
-  public void changed(String kind, String name) {
+  public void onChange(String kind, String name) {
     try {
       switch (kind) {
         case Replica.JOBS -> {
@@ -233,62 +233,62 @@
             // A first reading may have shown log entries that are younger than its list of jobs:
             // they were of no known job then, and would be lost to whoever takes the shard over.
             Job job = load(name);
-            if (spokenOf.remove(name)) {
-              later(job).forEach(job::apply);
+            if (awaitingRecord.remove(name)) {
+              logEntries(job).forEach(job::apply);
             }
           }
         }
         case Replica.PAGES -> {
-          Job job = jobs.get(owner(name));
+          Job job = jobs.get(parentOf(name));
           if (job != null) {
-            page(job, Integer.parseInt(name.substring(name.lastIndexOf('/') + 1)));
-            later(job).forEach(job::apply);
+            loadPage(job, Integer.parseInt(name.substring(name.lastIndexOf('/') + 1)));
+            logEntries(job).forEach(job::apply);
           }
         }
         case Replica.LOGS -> {
           Item item = replica.get(kind, name);
           if (item != null) {
-            news(name, item.data());
+            applyNewEntries(name, item.data());
           }
         }
         default -> {}
       }
     } catch (Malformed | NumberFormatException e) {
-      unreadable(kind, name, e);
+      markUnreadable(kind, name, e);
     }
   }
 
-  private void unreadable(String kind, String name, Exception e) {
+  private void markUnreadable(String kind, String name, Exception e) {
     LOG.error("record {}/{} cannot be read: {}", kind, name, e.getMessage());
-    unreadable.add(kind.equals(Replica.JOBS) ? name : owner(name));
+    unreadable.add(kind.equals(Replica.JOBS) ? name : parentOf(name));
   }
 
   /** Everything once more: a reading shows keys of different moments, in the order of names. */
   public void rebuild() {
     jobs.clear();
-    applied.clear();
-    seen.clear();
-    spokenOf.clear();
+    lastEntryByShard.clear();
+    lastEntryBySlot.clear();
+    awaitingRecord.clear();
     unreadable.clear();
-    for (String id : replica.kind(Replica.JOBS).keySet()) {
+    for (String id : replica.items(Replica.JOBS).keySet()) {
       try {
         load(id);
       } catch (Malformed e) {
-        unreadable(Replica.JOBS, id, e);
+        markUnreadable(Replica.JOBS, id, e);
       }
     }
     List<LogRecord.Entry> entries = new ArrayList<>();
     replica
-        .kind(Replica.LOGS)
+        .items(Replica.LOGS)
         .forEach(
             (name, item) -> {
               try {
                 LogRecord slot = LogRecord.parse(item.data());
                 entries.addAll(slot.entries());
-                applied.mergeLong(owner(name), slot.last(), Math::max);
-                seen.put(name, slot.last());
+                lastEntryByShard.mergeLong(parentOf(name), slot.last(), Math::max);
+                lastEntryBySlot.put(name, slot.last());
               } catch (Malformed e) {
-                unreadable(Replica.LOGS, name, e);
+                markUnreadable(Replica.LOGS, name, e);
               }
             });
     entries.sort(Comparator.comparingLong(LogRecord.Entry::number));
@@ -297,14 +297,14 @@
       if (job != null) {
         job.apply(entry);
       } else {
-        spokenOf(entry.job());
+        awaitRecord(entry.job());
       }
     }
   }
 
-  private void spokenOf(String id) {
+  private void awaitRecord(String id) {
     if (replica.get(Replica.ENDED, id) == null) {
-      spokenOf.add(id);
+      awaitingRecord.add(id);
     }
   }
 
@@ -321,7 +321,7 @@
     int pages = (job.spec.pieces() + job.pageTasks - 1) / job.pageTasks;
     for (int page = 0; page < pages; page++) {
       if (replica.get(Replica.PAGES, pageName(id, page)) != null) {
-        page(job, page);
+        loadPage(job, page);
       }
     }
     return job;
@@ -330,18 +330,18 @@
   /** All that is recorded of a job, whatever came in which order. */
   private void reload(Job job) throws Malformed {
     for (int page : Set.copyOf(job.pages.keySet())) {
-      page(job, page);
+      loadPage(job, page);
     }
-    later(job).forEach(job::apply);
+    logEntries(job).forEach(job::apply);
   }
 
-  private void page(Job job, int number) {
+  private void loadPage(Job job, int number) {
     String name = pageName(job.spec.ref(), number);
     Item item = replica.get(Replica.PAGES, name);
     try {
-      job.reset(number, item == null ? null : PageRecord.parse(item.data()));
+      job.resetPage(number, item == null ? null : PageRecord.parse(item.data()));
     } catch (Malformed e) {
-      unreadable(Replica.PAGES, name, e);
+      markUnreadable(Replica.PAGES, name, e);
     }
   }
 
@@ -349,34 +349,35 @@
    * Entries of a slot that were not taken in yet. After a first reading they may be older than some
    * of another slot: the reading showed that one as of a later moment. They then go below those.
    */
-  private void news(String name, JsonNode slot) throws Malformed {
-    String shard = owner(name);
-    JsonNode list = Fields.list(slot, "log");
-    int from = list.size();
-    while (from > 0 && Fields.count(list.get(from - 1), "n") > seen.getLong(name)) {
-      from--;
+  private void applyNewEntries(String name, JsonNode slot) throws Malformed {
+    String shard = parentOf(name);
+    JsonNode slotEntries = Fields.list(slot, "log");
+    int next = slotEntries.size();
+    while (next > 0
+        && Fields.count(slotEntries.get(next - 1), "n") > lastEntryBySlot.getLong(name)) {
+      next--;
     }
-    long last = applied.getLong(shard);
-    for (; from < list.size(); from++) {
-      LogRecord.Entry entry = LogRecord.Entry.parse(list.get(from));
+    long lastNumber = lastEntryByShard.getLong(shard);
+    for (; next < slotEntries.size(); next++) {
+      LogRecord.Entry entry = LogRecord.Entry.parse(slotEntries.get(next));
       Job job = jobs.get(entry.job());
-      if (job != null && entry.number() > last) {
+      if (job != null && entry.number() > lastNumber) {
         job.apply(entry);
       } else if (job != null) {
         reload(job);
       } else {
-        spokenOf(entry.job());
+        awaitRecord(entry.job());
       }
-      applied.put(shard, Math.max(entry.number(), applied.getLong(shard)));
-      seen.put(name, Math.max(entry.number(), seen.getLong(name)));
+      lastEntryByShard.put(shard, Math.max(entry.number(), lastEntryByShard.getLong(shard)));
+      lastEntryBySlot.put(name, Math.max(entry.number(), lastEntryBySlot.getLong(name)));
     }
   }
 
   /** What the log still says of a job, in order: pages may be written after later entries. */
-  private List<LogRecord.Entry> later(Job job) throws Malformed {
+  private List<LogRecord.Entry> logEntries(Job job) throws Malformed {
     List<LogRecord.Entry> entries = new ArrayList<>();
-    for (Map.Entry<String, Item> slot : replica.kind(Replica.LOGS).entrySet()) {
-      if (owner(slot.getKey()).equals(job.shard)) {
+    for (Map.Entry<String, Item> slot : replica.items(Replica.LOGS).entrySet()) {
+      if (parentOf(slot.getKey()).equals(job.shard)) {
         for (JsonNode item : Fields.list(slot.getValue().data(), "log")) {
           if (item.path("job").asText().equals(job.spec.ref())) {
             entries.add(LogRecord.Entry.parse(item));
--- a/src/main/java/dunlincroft/bookkeeping/Replica.java
+++ b/src/main/java/dunlincroft/bookkeeping/Replica.java
@@ -27,7 +27,7 @@
   public static final String BLOCKS = "blocks";
 
   /** Which blocks the leader's last lease of new machines made. */
-  public static final String ADOPTIONS = "adoptions";
+  public static final String DISCOVERED_BLOCKS = "adoptions";
 
   public static final String JOBS = "jobs";
   public static final String PAGES = "pages";
@@ -48,7 +48,7 @@
   /** Operators' documents: manifests, and pages of their versions. */
   public static final String DOCUMENTS = "documents";
 
-  public static final String DOC_PAGES = "docpages";
+  public static final String DOCUMENT_PAGES = "docpages";
 
   /** Nights of the settlement calendar. */
   public static final String NIGHTS = "nights";
@@ -57,45 +57,46 @@
   public static final String MIGRATIONS = "migrations";
 
   public static final String MIGRATION_HISTORY = "migrationlog";
-  public static final String MIGRATION_ASKS = "migrationasks";
+  public static final String MIGRATION_REQUESTS = "migrationasks";
 
   private final Map<String, Object2ObjectLinkedOpenHashMap<String, Item>> kinds =
       new Object2ObjectLinkedOpenHashMap<>();
-  private final Object2LongLinkedOpenHashMap<String> removed = new Object2LongLinkedOpenHashMap<>();
+  private final Object2LongLinkedOpenHashMap<String> tombstones =
+      new Object2LongLinkedOpenHashMap<>();
   private BiConsumer<String, String> listener = (kind, name) -> {};
-  private long epoch;
-  private boolean endsForgotten;
+  private long revision;
+  private boolean finalStatesEvicted;
 
   /** Told of every change as kind and name, after it is visible. */
-  public void listener(BiConsumer<String, String> changed) {
+  public void setListener(BiConsumer<String, String> changed) {
     listener = changed;
   }
 
-  public long epoch() {
-    return epoch;
+  public long revision() {
+    return revision;
   }
 
   /** The feed is complete up to here. */
-  void epoch(long reached) {
-    if (reached > epoch) {
-      epoch = reached;
-      while (!removed.isEmpty() && removed.getLong(removed.firstKey()) <= epoch) {
-        removed.removeFirstLong();
+  void revision(long reached) {
+    if (reached > revision) {
+      revision = reached;
+      while (!tombstones.isEmpty() && tombstones.getLong(tombstones.firstKey()) <= revision) {
+        tombstones.removeFirstLong();
       }
     }
   }
 
   /** Whether some final states are no longer here: only the state service knows them. */
-  public boolean endsForgotten() {
-    return endsForgotten;
+  public boolean hasEvictedFinalStates() {
+    return finalStatesEvicted;
   }
 
-  public Map<String, Item> kind(String kind) {
+  public Map<String, Item> items(String kind) {
     return kinds.computeIfAbsent(kind, k -> new Object2ObjectLinkedOpenHashMap<>());
   }
 
   public Item get(String kind, String name) {
-    return kind(kind).get(name);
+    return items(kind).get(name);
   }
 
   /** The stamp to guard a key with; 0 when it does not exist. */
@@ -107,62 +108,62 @@
   /** The same by the whole key. */
   public long stampOf(String key) {
     long[] stamp = new long[1];
-    split(key, (kind, name) -> stamp[0] = stamp(kind, name));
+    splitKey(key, (kind, name) -> stamp[0] = stamp(kind, name));
     return stamp[0];
   }
 
-  private interface Change {
-    void on(String kind, String name);
+  private interface KeyHandler {
+    void handle(String kind, String name);
   }
 
-  private static void split(String key, Change change) {
+  private static void splitKey(String key, KeyHandler handler) {
     int slash = key.indexOf('/', Wire.ROOT.length());
     if (key.startsWith(Wire.ROOT) && slash > 0) {
-      change.on(key.substring(Wire.ROOT.length(), slash), key.substring(slash + 1));
+      handler.handle(key.substring(Wire.ROOT.length(), slash), key.substring(slash + 1));
     }
   }
 
   void put(String key, JsonNode data, long stamp) {
-    if (removed.getOrDefault(key, 0L) > stamp) {
+    if (tombstones.getOrDefault(key, 0L) > stamp) {
       return;
     }
-    split(
+    splitKey(
         key,
         (kind, name) -> {
           if (kind.equals(JOBS) && stamp(ENDED, name) > stamp) {
             return; // An older state of a job that is over.
           }
-          boolean end = kind.equals(JOBS) && data.has(STATUS);
-          set(end ? ENDED : kind, name, new Item(data, stamp));
-          if (end && kind(JOBS).remove(name) != null) {
+          boolean isFinal = kind.equals(JOBS) && data.has(STATUS);
+          set(isFinal ? ENDED : kind, name, new Item(data, stamp));
+          if (isFinal && items(JOBS).remove(name) != null) {
             listener.accept(JOBS, name);
           }
         });
   }
 
   private void set(String kind, String name, Item item) {
-    Object2ObjectLinkedOpenHashMap<String, Item> items =
-        (Object2ObjectLinkedOpenHashMap<String, Item>) kind(kind);
-    Item known = items.get(name);
+    Object2ObjectLinkedOpenHashMap<String, Item> itemsOfKind =
+        (Object2ObjectLinkedOpenHashMap<String, Item>) items(kind);
+    Item known = itemsOfKind.get(name);
     if (known == null || known.stamp < item.stamp) {
-      items.put(name, item);
-      if (kind.equals(ENDED) && items.size() > Constants.ENDED_IN_MEMORY) {
-        items.removeFirst();
-        endsForgotten = true;
+      itemsOfKind.put(name, item);
+      if (kind.equals(ENDED) && itemsOfKind.size() > Constants.ENDED_IN_MEMORY) {
+        itemsOfKind.removeFirst();
+        finalStatesEvicted = true;
       }
       listener.accept(kind, name);
     }
   }
 
   void remove(String key, long stamp) {
-    split(
+    splitKey(
         key,
         (kind, name) -> {
           Item known = get(kind, name);
           if (known != null && known.stamp < stamp) {
-            kind(kind).remove(name);
-            if (stamp > epoch) {
-              removed.put(key, stamp);
+            items(kind).remove(name);
+            if (stamp > revision) {
+              tombstones.put(key, stamp);
             }
             listener.accept(kind, name);
           }
@@ -170,15 +171,15 @@
   }
 
   /** After a complete reading: forgets keys that were not in it and are no newer than it began. */
-  void retain(Set<String> keys, long from) {
+  void retain(Set<String> keys, long listRevision) {
     for (String kind : Set.copyOf(kinds.keySet())) {
       if (kind.equals(ENDED)) {
         continue;
       }
-      for (String name : new HashSet<>(kind(kind).keySet())) {
+      for (String name : new HashSet<>(items(kind).keySet())) {
         Item item = get(kind, name);
-        if (item.stamp <= from && !keys.contains(Wire.key(kind, name))) {
-          kind(kind).remove(name);
+        if (item.stamp <= listRevision && !keys.contains(Wire.key(kind, name))) {
+          items(kind).remove(name);
           listener.accept(kind, name);
         }
       }
--- a/src/main/java/dunlincroft/bookkeeping/StateStore.java
+++ b/src/main/java/dunlincroft/bookkeeping/StateStore.java
@@ -42,7 +42,7 @@
   /** An answer as a map; status 0: none, or one that could not be understood. */
   public record Answer(int status, ObjectNode body) {}
 
-  private record Pending(
+  private record PendingCall(
       Urgency urgency,
       String method,
       String path,
@@ -52,11 +52,11 @@
       long refuseAtMs,
       Consumer<Answer> then) {}
 
-  private static final int NO_HOLD = 400;
-  private static final int OVER_RATE = 429;
+  private static final int NO_SESSION = 400;
+  private static final int TOO_MANY_REQUESTS = 429;
 
   /** Answer of a call that was never sent, for want of budget; the service itself says 429. */
-  private static final Answer NOT_SENT = new Answer(OVER_RATE, null);
+  private static final Answer NOT_SENT = new Answer(TOO_MANY_REQUESTS, null);
 
   private final Env env;
   private final String address;
@@ -65,46 +65,46 @@
   private final TokenBucket requests;
 
   /** Readings that may be sent while requests are scarce. */
-  private final TokenBucket readings;
+  private final TokenBucket reservedReads;
 
   private final TokenBucket writes;
-  private final List<ArrayDeque<Pending>> queues = new ArrayList<>();
+  private final List<ArrayDeque<PendingCall>> queues = new ArrayList<>();
   private final Replica replica;
-  private final Soon pump;
-  private final Meter wishRequests = new Meter();
-  private final Meter wishWrites = new Meter();
-  private final Map<Urgency, Integer> written = new EnumMap<>(Urgency.class);
+  private final Soon dispatcher;
+  private final RateMeter requestDemand = new RateMeter();
+  private final RateMeter writeDemand = new RateMeter();
+  private final Map<Urgency, Integer> writesByUrgency = new EnumMap<>(Urgency.class);
   private long sent;
   private long refused;
   private int backlog;
 
   /** Whether the last call that was sent was a reading. */
-  private boolean readLast;
+  private boolean lastSentWasRead;
 
-  private final Meter others = new Meter();
-  private double otherWrites;
+  private final RateMeter urgentWrites = new RateMeter();
+  private double urgentWritesPerSecond;
 
   public StateStore(Env env, String address, double rps, double writeRps, Replica replica) {
     this.env = env;
-    this.pump = new Soon(env, this::pump);
+    this.dispatcher = new Soon(env, this::dispatch);
     this.address = address;
     this.rps = rps * Constants.BUDGET_PART;
     this.writeRps = writeRps * Constants.BUDGET_PART;
     this.replica = replica;
     this.requests = new TokenBucket(0, this.rps / Constants.BURST_PART, env.nowMillis());
-    this.readings = new TokenBucket(0, 1, env.nowMillis());
+    this.reservedReads = new TokenBucket(0, 1, env.nowMillis());
     this.writes = new TokenBucket(0, this.writeRps / Constants.BURST_PART, env.nowMillis());
-    share(new Wish(0, 0), List.of());
+    setShare(new RateDemand(0, 0), List.of());
     for (int i = 0; i < Urgency.values().length; i++) {
       queues.add(new ArrayDeque<>());
     }
   }
 
   /** What a controller wants of the published rates, in requests and changes a second. */
-  public record Wish(double requests, double writes) {}
+  public record RateDemand(double requests, double writes) {}
 
   /** A rate smoothed over some seconds. */
-  private static final class Meter {
+  private static final class RateMeter {
     private double perSecond;
     private double sum;
 
@@ -112,76 +112,76 @@
       sum += n;
     }
 
-    double take(double seconds) {
-      double pace = Math.exp(-seconds / Constants.WISH_S);
-      perSecond = perSecond * pace + sum / seconds * (1 - pace);
+    double sample(double seconds) {
+      double decay = Math.exp(-seconds / Constants.WISH_S);
+      perSecond = perSecond * decay + sum / seconds * (1 - decay);
       sum = 0;
       return perSecond;
     }
   }
 
   /** Our wish since the last call, {@code seconds} ago. */
-  public Wish wish(double seconds) {
-    otherWrites = others.take(seconds);
-    return new Wish(wishRequests.take(seconds), wishWrites.take(seconds) + backlog);
+  public RateDemand demand(double seconds) {
+    urgentWritesPerSecond = urgentWrites.sample(seconds);
+    return new RateDemand(requestDemand.sample(seconds), writeDemand.sample(seconds) + backlog);
   }
 
   /** Changes that wait until there is budget for them; they are part of our wish. */
-  public void backlog(int changes) {
-    backlog = changes;
+  public void setBacklog(int waitingWrites) {
+    backlog = waitingWrites;
   }
 
   /**
    * Sets our part of the published rates by all controllers' wishes. Everyone has a floor, for what
    * comes suddenly. The parts are advice: where they add up to more, the service says 429.
    */
-  public void share(Wish mine, List<Wish> others) {
-    int all = others.size() + 1;
-    double floorRequests = rps / Constants.WISH_FLOORS / all;
-    double floorWrites = writeRps / Constants.WISH_FLOORS / all;
-    double sumRequests = mine.requests + all * floorRequests;
-    double sumWrites = mine.writes + all * floorWrites;
-    for (Wish other : others) {
+  public void setShare(RateDemand own, List<RateDemand> others) {
+    int controllers = others.size() + 1;
+    double floorRequests = rps / Constants.WISH_FLOORS / controllers;
+    double floorWrites = writeRps / Constants.WISH_FLOORS / controllers;
+    double sumRequests = own.requests + controllers * floorRequests;
+    double sumWrites = own.writes + controllers * floorWrites;
+    for (RateDemand other : others) {
       sumRequests += other.requests;
       sumWrites += other.writes;
     }
     long now = env.nowMillis();
-    readings.rate(rps * Constants.READINGS_PART / all, now);
-    requests.rate(rps * (mine.requests + floorRequests) / sumRequests, now);
-    writes.rate(writeRps * (mine.writes + floorWrites) / sumWrites, now);
+    reservedReads.rate(rps * Constants.READINGS_PART / controllers, now);
+    requests.rate(rps * (own.requests + floorRequests) / sumRequests, now);
+    writes.rate(writeRps * (own.writes + floorWrites) / sumWrites, now);
   }
 
   /** Changes that may be sent at once and leave something for what is more urgent. */
-  public int writesFree() {
-    if (waiting() > 0) {
+  public int availableWrites() {
+    if (waitingCalls() > 0) {
       return 0;
     }
-    return (int) writes.beyond(Constants.WRITES_KEPT, env.nowMillis());
+    return (int) writes.availableAbove(Constants.WRITES_KEPT, env.nowMillis());
   }
 
   /** Calls that wait for budget. */
-  public int waiting() {
+  public int waitingCalls() {
     int n = 0;
-    for (ArrayDeque<Pending> queue : queues) {
+    for (ArrayDeque<PendingCall> queue : queues) {
       n += queue.size();
     }
     return n;
   }
 
   /** Calls so far, and the changes by what they were for since the last line. */
-  public String figures() {
+  public String metrics() {
     String line =
         "sent="
             + sent
             + " refused="
             + refused
             + " waiting="
-            + waiting()
+            + waitingCalls()
             + " backlog="
             + backlog
             + " changes="
-            + written;
-    written.clear();
+            + writesByUrgency;
+    writesByUrgency.clear();
     return line;
   }
 
@@ -190,10 +190,10 @@
       String method,
       String path,
       ObjectNode body,
-      int puts,
+      int writeCount,
       long timeoutMs,
       Consumer<Answer> then) {
-    submit(urgency, method, path, body, puts, timeoutMs, Constants.BUDGET_WAIT_MS, then);
+    submit(urgency, method, path, body, writeCount, timeoutMs, Constants.BUDGET_WAIT_MS, then);
   }
 
   private void submit(
@@ -201,38 +201,38 @@
       String method,
       String path,
       ObjectNode body,
-      int puts,
+      int writeCount,
       long timeoutMs,
-      long patience,
+      long maxWaitMs,
       Consumer<Answer> then) {
     long now = env.nowMillis();
-    if (accepts(urgency) && waitMs(urgency, puts) > patience) {
+    if (isAcceptance(urgency) && expectedWaitMs(urgency, writeCount) > maxWaitMs) {
       // A user who cannot be served in time is told so now, not when the time is over.
       refused++;
       env.after(0, () -> then.accept(NOT_SENT));
       return;
     }
-    long refuseAt = now + patience;
+    long refuseAt = now + maxWaitMs;
     queues
         .get(urgency.ordinal())
-        .add(new Pending(urgency, method, path, body, puts, timeoutMs, refuseAt, then));
-    wishRequests.add(1);
-    wishWrites.add(puts);
+        .add(new PendingCall(urgency, method, path, body, writeCount, timeoutMs, refuseAt, then));
+    requestDemand.add(1);
+    writeDemand.add(writeCount);
     // From a timer even when there is room: no caller is called back inside its own call.
-    pump.in(0);
+    dispatcher.in(0);
   }
 
-  private static boolean accepts(Urgency urgency) {
+  private static boolean isAcceptance(Urgency urgency) {
     return urgency == Urgency.ACCEPT_PROD || urgency == Urgency.ACCEPT;
   }
 
   /**
    * Milliseconds that so many changes would wait behind what waits already and goes before them.
    */
-  public long waitMs(Urgency urgency, int changes) {
-    double ahead = changes;
-    for (ArrayDeque<Pending> queue : queues.subList(0, urgency.ordinal() + 1)) {
-      for (Pending pending : queue) {
+  public long expectedWaitMs(Urgency urgency, int newWrites) {
+    double ahead = newWrites;
+    for (ArrayDeque<PendingCall> queue : queues.subList(0, urgency.ordinal() + 1)) {
+      for (PendingCall pending : queue) {
         ahead += pending.writes;
       }
     }
@@ -240,33 +240,33 @@
   }
 
   /** Submissions a second that can be accepted beside what is more urgent, as of late. */
-  public double acceptsPerSecond() {
-    return Math.max(writes.rate() - otherWrites, Constants.ACCEPT_LEAST * writes.rate());
+  public double acceptancesPerSecond() {
+    return Math.max(writes.rate() - urgentWritesPerSecond, Constants.ACCEPT_LEAST * writes.rate());
   }
 
-  private void pump() {
+  private void dispatch() {
     long now = env.nowMillis();
     refuseOverdue();
-    Pending next = next(now);
+    PendingCall next = nextCall(now);
     while (next != null && requests.has(1, now)) {
       queues.get(next.urgency.ordinal()).remove(next);
-      requests.take(1, now);
-      writes.take(next.writes, now);
-      readLast = next.writes == 0;
-      if (next.urgency == Urgency.READ && readings.has(1, now)) {
-        readings.take(1, now);
+      requests.consume(1, now);
+      writes.consume(next.writes, now);
+      lastSentWasRead = next.writes == 0;
+      if (next.urgency == Urgency.READ && reservedReads.has(1, now)) {
+        reservedReads.consume(1, now);
       }
       send(next);
-      next = next(now);
+      next = nextCall(now);
     }
-    if (waiting() > 0) {
-      pump.in(Constants.PUMP_MS);
+    if (waitingCalls() > 0) {
+      dispatcher.in(Constants.PUMP_MS);
     }
   }
 
   private void refuseOverdue() {
-    List<Pending> overdue = new ArrayList<>();
-    for (ArrayDeque<Pending> queue : queues) {
+    List<PendingCall> overdue = new ArrayList<>();
+    for (ArrayDeque<PendingCall> queue : queues) {
       while (!queue.isEmpty() && env.nowMillis() >= queue.peek().refuseAtMs) {
         overdue.add(queue.poll());
       }
@@ -280,31 +280,31 @@
    * reading does not wait for change budget that a more urgent change lacks; and where requests are
    * scarce they take turns, since both come without end.
    */
-  private Pending next(long now) {
-    Pending reading = first(false);
-    Pending change = first(true);
-    if (reading != null && reading.urgency == Urgency.READ && !mayRead(now)) {
-      reading = null;
+  private PendingCall nextCall(long now) {
+    PendingCall read = firstWaiting(false);
+    PendingCall write = firstWaiting(true);
+    if (read != null && read.urgency == Urgency.READ && !canRead(now)) {
+      read = null;
     }
-    if (change != null && !writes.has(change.writes, now)) {
-      change = null;
+    if (write != null && !writes.has(write.writes, now)) {
+      write = null;
     }
-    if (reading == null || change == null) {
-      return reading == null ? change : reading;
+    if (read == null || write == null) {
+      return read == null ? write : read;
     }
-    return readLast && reading.urgency != Urgency.HOLD ? change : reading;
+    return lastSentWasRead && read.urgency != Urgency.HOLD ? write : read;
   }
 
   /** Watches and barriers of all controllers leave a part of the requests while they are scarce. */
-  private boolean mayRead(long now) {
-    return requests.beyond(Constants.REQUESTS_AMPLE, now) > 0 || readings.has(1, now);
+  private boolean canRead(long now) {
+    return requests.availableAbove(Constants.REQUESTS_AMPLE, now) > 0 || reservedReads.has(1, now);
   }
 
   /** The most urgent reading, or change, that waits; null: none. */
-  private Pending first(boolean changes) {
-    for (ArrayDeque<Pending> queue : queues) {
-      for (Pending pending : queue) {
-        if (changes == pending.writes > 0) {
+  private PendingCall firstWaiting(boolean isWrite) {
+    for (ArrayDeque<PendingCall> queue : queues) {
+      for (PendingCall pending : queue) {
+        if (isWrite == pending.writes > 0) {
           return pending;
         }
       }
@@ -312,11 +312,11 @@
     return null;
   }
 
-  private void send(Pending call) {
+  private void send(PendingCall call) {
     sent++;
     if (call.writes > 0) {
-      written.merge(call.urgency, call.writes, Integer::sum);
-      others.add(call.urgency.ordinal() < Urgency.ACCEPT_PROD.ordinal() ? call.writes : 0);
+      writesByUrgency.merge(call.urgency, call.writes, Integer::sum);
+      urgentWrites.add(call.urgency.ordinal() < Urgency.ACCEPT_PROD.ordinal() ? call.writes : 0);
     }
     env.call(
         new Env.Call(
@@ -326,18 +326,18 @@
             call.body == null ? null : Cbor.bytes(call.body),
             call.timeoutMs),
         reply -> {
-          if (reply.status() == OVER_RATE && env.nowMillis() < call.refuseAtMs) {
+          if (reply.status() == TOO_MANY_REQUESTS && env.nowMillis() < call.refuseAtMs) {
             // Not carried out: together we asked for too much. It goes first, a little later.
             queues.get(call.urgency.ordinal()).addFirst(call);
-            (call.writes > 0 ? writes : requests).empty(env.nowMillis());
-            pump.in(Constants.OVER_RATE_MS);
+            (call.writes > 0 ? writes : requests).discardTokens(env.nowMillis());
+            dispatcher.in(Constants.OVER_RATE_MS);
           } else {
-            call.then.accept(understand(reply));
+            call.then.accept(parseReply(reply));
           }
         });
   }
 
-  private static Answer understand(Reply reply) {
+  private static Answer parseReply(Reply reply) {
     if (reply.status() == 0 || reply.body().length == 0) {
       return new Answer(reply.status() == 200 ? 0 : reply.status(), null);
     }
@@ -357,7 +357,7 @@
   }
 
   /** The same, given up when it would wait longer for budget. */
-  public void commit(Urgency urgency, Txn txn, long patienceMs, Consumer<Txn.Result> then) {
+  public void commit(Urgency urgency, Txn txn, long maxWaitMs, Consumer<Txn.Result> then) {
     submit(
         urgency,
         "POST",
@@ -365,7 +365,7 @@
         txn.toNode(),
         txn.size(),
         Constants.STATE_CALL_MS,
-        patienceMs,
+        maxWaitMs,
         answer -> then.accept(result(txn, answer)));
   }
 
@@ -373,26 +373,26 @@
     try {
       switch (answer.status) {
         case 200 -> {
-          long epoch = Fields.count(answer.body, "epoch");
+          long revision = Fields.count(answer.body, "epoch");
           // An answer can lie in a socket for as long as the process stands still. What the feed
           // has
           // passed meanwhile it has shown, with all that came after: shown again, a job that has
           // ended would be there once more, and be run by whoever holds its shard.
-          for (Txn.Op op : epoch <= replica.epoch() ? List.<Txn.Op>of() : txn.ops()) {
+          for (Txn.Op op : revision <= replica.revision() ? List.<Txn.Op>of() : txn.ops()) {
             if (op.data() == null) {
-              replica.remove(op.key(), epoch);
+              replica.remove(op.key(), revision);
             } else {
-              replica.put(op.key(), op.data(), epoch);
+              replica.put(op.key(), op.data(), revision);
             }
           }
-          return new Txn.Result(Txn.Outcome.OK, epoch, List.of());
+          return new Txn.Result(Txn.Outcome.OK, revision, List.of());
         }
         case 409 -> {
           List<String> failed =
               answer.body == null ? null : Fields.textsOrNull(answer.body, "failed");
           return new Txn.Result(Txn.Outcome.CONFLICT, 0, failed == null ? List.of() : failed);
         }
-        case NO_HOLD, 429, 503 -> {
+        case NO_SESSION, 429, 503 -> {
           return new Txn.Result(Txn.Outcome.REFUSED, 0, List.of());
         }
         default -> {
@@ -432,7 +432,7 @@
         then);
   }
 
-  public void hold(Consumer<Answer> then) {
+  public void openSession(Consumer<Answer> then) {
     submit(
         Urgency.HOLD,
         "POST",
@@ -443,11 +443,11 @@
         then);
   }
 
-  public void touch(long tenancy, Consumer<Answer> then) {
+  public void renewSession(long sessionId, Consumer<Answer> then) {
     submit(
         Urgency.HOLD,
         "POST",
-        Wire.HOLDS + "/" + tenancy + "/touch",
+        Wire.HOLDS + "/" + sessionId + "/touch",
         Cbor.map(),
         0,
         Constants.STATE_CALL_MS,
--- a/src/main/java/dunlincroft/bookkeeping/TokenBucket.java
+++ b/src/main/java/dunlincroft/bookkeeping/TokenBucket.java
@@ -5,13 +5,13 @@
   private final double burst;
   private double perSecond;
   private double tokens;
-  private long lastMs;
+  private long lastRefillMs;
 
   public TokenBucket(double perSecond, double burst, long nowMs) {
     this.burst = Math.max(1, burst);
     this.perSecond = perSecond;
     this.tokens = perSecond / 2;
-    this.lastMs = nowMs;
+    this.lastRefillMs = nowMs;
   }
 
   public void rate(double newPerSecond, long nowMs) {
@@ -31,35 +31,37 @@
   }
 
   /** Tokens that are there beyond a part kept for what is more urgent. */
-  public double beyond(double part, long nowMs) {
+  public double availableAbove(double reservedFraction, long nowMs) {
     refill(nowMs);
     // A bucket of one token would never have one to spare.
-    return tokens >= size() ? Math.max(1, tokens - size() * part) : tokens - size() * part;
+    return tokens >= capacity()
+        ? Math.max(1, tokens - capacity() * reservedFraction)
+        : tokens - capacity() * reservedFraction;
   }
 
   /** The service says that there are none: for a while there are not. */
-  public void empty(long nowMs) {
+  public void discardTokens(long nowMs) {
     refill(nowMs);
     tokens = Math.min(tokens, 0);
   }
 
-  private double size() {
+  private double capacity() {
     return Math.max(burst, perSecond);
   }
 
   private void refill(long nowMs) {
-    tokens = Math.min(size(), tokens + (nowMs - lastMs) * perSecond / 1000);
-    lastMs = nowMs;
+    tokens = Math.min(capacity(), tokens + (nowMs - lastRefillMs) * perSecond / 1000);
+    lastRefillMs = nowMs;
   }
 
   /** True when {@code n} tokens are there; a wish above the bucket's size waits for a full one. */
   public boolean has(double n, long nowMs) {
     refill(nowMs);
-    return tokens >= Math.min(n, size());
+    return tokens >= Math.min(n, capacity());
   }
 
   /** May go below zero, when a wish is larger than the bucket. */
-  public void take(double n, long nowMs) {
+  public void consume(double n, long nowMs) {
     refill(nowMs);
     tokens -= n;
   }
--- a/src/main/java/dunlincroft/bookkeeping/Txn.java
+++ b/src/main/java/dunlincroft/bookkeeping/Txn.java
@@ -24,14 +24,14 @@
   }
 
   /** The outcome, with the store's revision and the keys whose guards failed. */
-  public record Result(Outcome outcome, long epoch, List<String> failed) {
+  public record Result(Outcome outcome, long revision, List<String> failedKeys) {
     public boolean ok() {
       return outcome == Outcome.OK;
     }
   }
 
   /** A put ({@code data} set) or a removal. */
-  record Op(String key, JsonNode data, long tenancy) {}
+  record Op(String key, JsonNode data, long sessionId) {}
 
   private final Map<String, Long> guards = new LinkedHashMap<>();
   private final List<Op> ops = new ArrayList<>();
@@ -47,8 +47,8 @@
   }
 
   /** {@code tenancy} 0 attaches the key to no hold. */
-  public Txn put(String key, JsonNode data, long tenancy) {
-    ops.add(new Op(key, data, tenancy));
+  public Txn put(String key, JsonNode data, long sessionId) {
+    ops.add(new Op(key, data, sessionId));
     return this;
   }
 
@@ -76,8 +76,8 @@
       } else {
         ObjectNode put = apply.addObject().put("put", op.key);
         put.set("data", op.data);
-        if (op.tenancy != 0) {
-          put.put("tenancy", op.tenancy);
+        if (op.sessionId != 0) {
+          put.put("tenancy", op.sessionId);
         }
       }
     }
--- a/src/main/java/dunlincroft/calendar/Night.java
+++ b/src/main/java/dunlincroft/calendar/Night.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dunlincroft.conditions.Condition.End;
+import dunlincroft.conditions.Condition.CutOffAction;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.Fields;
 import dunlincroft.protocol.Malformed;
@@ -23,7 +23,7 @@
     long opensMs,
     long cutOffMs,
     Selector select,
-    End end,
+    CutOffAction end,
     long version,
     Phase phase) {
   /** A night's phases, each reached by one guarded write. */
@@ -72,7 +72,7 @@
           Fields.count(map, "opens"),
           Fields.count(map, "cutOff"),
           Selector.parse(map.path("select")),
-          End.valueOf(Fields.text(map, "end").toUpperCase(Locale.ROOT)),
+          CutOffAction.valueOf(Fields.text(map, "end").toUpperCase(Locale.ROOT)),
           Fields.count(map, "version"),
           Phase.valueOf(Fields.text(map, "phase").toUpperCase(Locale.ROOT)));
     } catch (DateTimeParseException | IllegalArgumentException e) {
--- a/src/main/java/dunlincroft/calendar/Plan.java
+++ b/src/main/java/dunlincroft/calendar/Plan.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-import dunlincroft.conditions.Condition.End;
+import dunlincroft.conditions.Condition.CutOffAction;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.Malformed;
 import java.time.DateTimeException;
@@ -60,7 +60,7 @@
       LocalTime opensOnHalfDays,
       LocalTime cutOff,
       Roll roll,
-      End end) {}
+      CutOffAction end) {}
 
   /** The last day of a month, as a day of the month. */
   private static final int LAST = -1;
@@ -210,7 +210,13 @@
               : opens;
       Roll roll =
           value(map, path, "roll", text -> Roll.valueOf(upper(text)), Roll.MODIFIED_FOLLOWING);
-      End end = value(map, path, "at_cut_off", text -> End.valueOf(upper(text)), End.SAVE);
+      CutOffAction end =
+          value(
+              map,
+              path,
+              "at_cut_off",
+              text -> CutOffAction.valueOf(upper(text)),
+              CutOffAction.SAVE);
       return new Window(name, market, select, weekdays, dayOfMonth, opens, half, cutOff, roll, end);
     }
 
--- a/src/main/java/dunlincroft/calendar/SettlementCalendar.java
+++ b/src/main/java/dunlincroft/calendar/SettlementCalendar.java
@@ -8,7 +8,7 @@
 import dunlincroft.bookkeeping.Txn;
 import dunlincroft.calendar.Night.Phase;
 import dunlincroft.conditions.Condition;
-import dunlincroft.conditions.Ruling;
+import dunlincroft.conditions.Decision;
 import dunlincroft.documents.Documents;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.Malformed;
@@ -77,7 +77,7 @@
           }
         }
       }
-      case Replica.DOCUMENTS, Replica.DOC_PAGES -> planDue = true;
+      case Replica.DOCUMENTS, Replica.DOCUMENT_PAGES -> planDue = true;
       default -> {}
     }
   }
@@ -142,19 +142,19 @@
   }
 
   @Override
-  public Ruling on(JobSpec spec) {
+  public Decision decide(JobSpec spec) {
     Night night = nightOf(spec);
     if (night == null) {
       boolean windowed = plan != null && plan.windowOf(spec) != null;
       return windowed
-          ? new Ruling(false, false, Long.MAX_VALUE, Map.of(), true, null)
-          : Ruling.FREE;
+          ? new Decision(false, false, Long.MAX_VALUE, Map.of(), true, null)
+          : Decision.UNRESTRICTED;
     }
     long wall = env.wallMillis();
     double takes = 1000 * runTimes.secondsOf(spec);
     // What saves loses nothing at a cut-off; what does not is begun only if it can end.
     double least =
-        spec.snapshotS() > 0 && night.end() != End.STOP
+        spec.snapshotS() > 0 && night.end() != CutOffAction.STOP
             ? Math.min(takes, 1000 * (spec.snapshotS() + spec.flushS()))
             : takes;
     boolean inTime = wall + clockOffMs + least < night.cutOffMs();
@@ -162,7 +162,7 @@
         night.phase() != Phase.CLOSING
             && wall + Constants.OPENING_LEAD_MS >= night.opensMs()
             && inTime;
-    return new Ruling(
+    return new Decision(
         isOpen(night) && inTime,
         soon,
         night.cutOffMs() - clockOffMs,
@@ -172,8 +172,8 @@
   }
 
   @Override
-  public End end(JobSpec spec) {
-    End end = null;
+  public CutOffAction cutOffAction(JobSpec spec) {
+    CutOffAction end = null;
     for (Night night : nights.values()) {
       if (night.phase() != Phase.PLANNED && night.select().matches(spec)) {
         if (isOpen(night)) {
@@ -186,7 +186,7 @@
   }
 
   @Override
-  public void ran(JobSpec spec, double seconds) {
+  public void onTaskFinished(JobSpec spec, double seconds) {
     runTimes.ran(spec, seconds);
   }
 
@@ -250,7 +250,7 @@
 
   private boolean running(Night night) {
     for (JobIndex.Job job : index.all().values()) {
-      if (job.placed() > 0 && night.select().matches(job.spec)) {
+      if (job.placedCount() > 0 && night.select().matches(job.spec)) {
         return true;
       }
     }
@@ -297,9 +297,9 @@
     for (JobIndex.Job job : index.all().values()) {
       if (night.select().matches(job.spec)) {
         double cores = job.spec.room().cpu() / 1000.0;
-        coreSeconds += job.wanted() * cores * runTimes.secondsOf(job.spec);
-        running += job.placed() * cores;
-        open += job.wanted();
+        coreSeconds += job.runnableTasks() * cores * runTimes.secondsOf(job.spec);
+        running += job.placedCount() * cores;
+        open += job.runnableTasks();
       }
     }
     double left = Math.max(1, (night.cutOffMs() - clockOffMs - wall) / 1000.0);
--- a/src/main/java/dunlincroft/conditions/Condition.java
+++ b/src/main/java/dunlincroft/conditions/Condition.java
@@ -5,7 +5,7 @@
 /** A part of the product that has a say in starts. The scheduler knows none of them by name. */
 public interface Condition {
   /** What becomes of a task that runs although its job may not start any. */
-  enum End {
+  enum CutOffAction {
     /** It goes on. */
     FINISH,
     /** It saves, if it can, and stops. */
@@ -18,11 +18,11 @@
   boolean active();
 
   /** What it says of a job. */
-  Ruling on(JobSpec spec);
+  Decision decide(JobSpec spec);
 
   /** What becomes of the tasks of a job, as its time is over; null: it is not. */
-  End end(JobSpec spec);
+  CutOffAction cutOffAction(JobSpec spec);
 
   /** A task of a job ran to its end: its run time, in seconds. */
-  void ran(JobSpec spec, double seconds);
+  void onTaskFinished(JobSpec spec, double seconds);
 }
--- a/src/main/java/dunlincroft/conditions/Conditions.java
+++ b/src/main/java/dunlincroft/conditions/Conditions.java
@@ -1,6 +1,6 @@
 package dunlincroft.conditions;
 
-import dunlincroft.conditions.Condition.End;
+import dunlincroft.conditions.Condition.CutOffAction;
 import dunlincroft.protocol.JobSpec;
 import java.util.HashMap;
 import java.util.List;
@@ -25,42 +25,44 @@
   }
 
   /** What they say of a job together. */
-  public Ruling on(JobSpec spec) {
-    Ruling sum = Ruling.FREE;
+  public Decision decide(JobSpec spec) {
+    Decision combined = Decision.UNRESTRICTED;
     for (Condition condition : all) {
-      Ruling ruling = condition.active() ? condition.on(spec) : Ruling.FREE;
-      if (ruling.conditional()) {
-        Map<String, Long> guards = new HashMap<>(sum.guards());
-        guards.putAll(ruling.guards());
-        sum =
-            new Ruling(
-                sum.start() && ruling.start(),
-                sum.wanted() && ruling.wanted(),
-                Math.min(sum.endsByMs(), ruling.endsByMs()),
+      Decision decision = condition.active() ? condition.decide(spec) : Decision.UNRESTRICTED;
+      if (decision.isRestricted()) {
+        Map<String, Long> guards = new HashMap<>(combined.guards());
+        guards.putAll(decision.guards());
+        combined =
+            new Decision(
+                combined.startAllowed() && decision.startAllowed(),
+                combined.machinesWanted() && decision.machinesWanted(),
+                Math.min(combined.deadlineMs(), decision.deadlineMs()),
                 Map.copyOf(guards),
-                sum.strict() || ruling.strict(),
-                sum.sides() == null ? ruling.sides() : sum.sides());
+                combined.noLateStart() || decision.noLateStart(),
+                combined.sides() == null ? decision.sides() : combined.sides());
       }
     }
-    return sum;
+    return combined;
   }
 
   /** The strictest end that any of them wants for the tasks of a job; null: none does. */
-  public End end(JobSpec spec) {
-    End strictest = null;
+  public CutOffAction cutOffAction(JobSpec spec) {
+    CutOffAction strictest = null;
     for (Condition condition : all) {
-      End end = condition.active() ? condition.end(spec) : null;
+      CutOffAction action = condition.active() ? condition.cutOffAction(spec) : null;
       strictest =
-          end != null && (strictest == null || end.compareTo(strictest) > 0) ? end : strictest;
+          action != null && (strictest == null || action.compareTo(strictest) > 0)
+              ? action
+              : strictest;
     }
     return strictest;
   }
 
   /** A task of a job ran to its end: its run time, in seconds. */
-  public void ran(JobSpec spec, double seconds) {
+  public void onTaskFinished(JobSpec spec, double seconds) {
     for (Condition condition : all) {
       if (condition.active()) {
-        condition.ran(spec, seconds);
+        condition.onTaskFinished(spec, seconds);
       }
     }
   }
--- a/src/main/java/dunlincroft/coordination/Cloud.java
+++ b/src/main/java/dunlincroft/coordination/Cloud.java
@@ -59,7 +59,7 @@
         pump.in(100);
         return;
       }
-      bucket.take(1, env.nowMillis());
+      bucket.consume(1, env.nowMillis());
       Call call = queue.poll();
       env.call(
           new Env.Call(
--- a/src/main/java/dunlincroft/coordination/ClusterState.java
+++ b/src/main/java/dunlincroft/coordination/ClusterState.java
@@ -4,13 +4,13 @@
 import dunlincroft.Constants;
 import dunlincroft.Settings;
 import dunlincroft.bookkeeping.BlockIndex;
-import dunlincroft.bookkeeping.Feed;
+import dunlincroft.bookkeeping.ChangeFeed;
 import dunlincroft.bookkeeping.JobIndex;
 import dunlincroft.bookkeeping.Replica;
 import dunlincroft.bookkeeping.Replica.Item;
 import dunlincroft.bookkeeping.StateStore;
 import dunlincroft.conditions.Conditions;
-import dunlincroft.conditions.Sides;
+import dunlincroft.conditions.MigrationSides;
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.BlockClass;
 import dunlincroft.protocol.BlockRecord;
@@ -45,7 +45,7 @@
   final Replica replica;
   final JobIndex jobIndex;
   final BlockIndex blocks;
-  Feed feed;
+  ChangeFeed feed;
   Figures metrics;
 
   /** Start conditions set by other parts of the product, such as the settlement calendar. */
@@ -166,7 +166,7 @@
 
   /** Handles a changed or removed record of the block that lists a machine. */
   void onBlockChanged(String host) {
-    BlockIndex.Block block = blocks.of(host);
+    BlockIndex.Block block = blocks.blockOf(host);
     Machine known = machines.get(host);
     if (block == null) {
       endpoints.remove(host);
@@ -219,7 +219,7 @@
     if (run != null || !owns(recordedJob.shard)) {
       return;
     }
-    if (!jobIndex.readable(id, recordedJob.shard)) {
+    if (!jobIndex.isReadable(id, recordedJob.shard)) {
       LOG.error("job {} is not run: some of its records cannot be read", id);
       return;
     }
@@ -293,8 +293,8 @@
     }
   }
 
-  private Sides migrationSides(JobSpec spec) {
-    return conditions.active() && spec.daemon() ? conditions.on(spec).sides() : null;
+  private MigrationSides migrationSides(JobSpec spec) {
+    return conditions.active() && spec.daemon() ? conditions.decide(spec).sides() : null;
   }
 
   /** Whether a migration assigns each replica of a service to one of two sides. */
@@ -307,12 +307,12 @@
     if (job.spec.hall() != null) {
       return List.of(job.spec.hall());
     }
-    Sides sides = migrationSides(job.spec);
+    MigrationSides sides = migrationSides(job.spec);
     List<String> zones = new ArrayList<>();
     for (int task = 0; sides != null && task < job.spec.pieces(); task++) {
-      int side = sides.of(task);
+      int side = sides.sideOf(task);
       for (String zone : type.halls()) {
-        if (!zones.contains(zone) && sides.has(side, "", type.label(), zone, false)) {
+        if (!zones.contains(zone) && sides.contains(side, "", type.label(), zone, false)) {
           zones.add(zone);
         }
       }
@@ -322,16 +322,16 @@
 
   /** Number of replicas of a service that are recorded on machines of the wrong migration side. */
   int misplacedReplicas(JobIndex.Job job) {
-    Sides sides = migrationSides(job.spec);
+    MigrationSides sides = migrationSides(job.spec);
     int misplaced = 0;
     if (sides != null) {
       for (TaskState.Place place : job.places()) {
-        BlockIndex.Block block = blocks.of(place.host());
+        BlockIndex.Block block = blocks.blockOf(place.host());
         if (block != null) {
           BlockClass machineClass = block.record().blockClass();
           misplaced +=
-              sides.has(
-                      sides.of(place.task()),
+              sides.contains(
+                      sides.sideOf(place.task()),
                       place.host(),
                       machineClass.flavour(),
                       machineClass.hall(),
@@ -346,7 +346,7 @@
 
   /** Whether machines should be available for a job now, according to its start conditions. */
   boolean needsMachines(JobSpec spec) {
-    return !conditions.active() || conditions.on(spec).wanted();
+    return !conditions.active() || conditions.decide(spec).machinesWanted();
   }
 
   /**
--- a/src/main/java/dunlincroft/coordination/Controller.java
+++ b/src/main/java/dunlincroft/coordination/Controller.java
@@ -2,7 +2,7 @@
 
 import dunlincroft.Constants;
 import dunlincroft.Settings;
-import dunlincroft.bookkeeping.Feed;
+import dunlincroft.bookkeeping.ChangeFeed;
 import dunlincroft.bookkeeping.JobIndex;
 import dunlincroft.bookkeeping.Replica;
 import dunlincroft.bookkeeping.StateStore;
@@ -67,7 +67,7 @@
     startConditions = new StartConditions(cluster);
     placementLog = new Ledger(cluster, startConditions);
     workerProtocol = new WorkerProtocol(cluster, placementLog);
-    cluster.feed = new Feed(env, store, replica, this::onSynced);
+    cluster.feed = new ChangeFeed(env, store, replica, this::onSynced);
     membership =
         new Membership(
             new NodeContext(settings, env, store, replica, cluster.feed), new ShardCallbacks());
@@ -85,7 +85,7 @@
         new Supply(cluster, membership, workerProtocol, placementLog, cloud, demand, discovery);
     handover = new Handover(cluster, membership, demand);
     jobService = new JobDesk(cluster, membership);
-    replica.listener(this::onRecordChanged);
+    replica.setListener(this::onRecordChanged);
     placementLog.onRecorded(machines -> machines.forEach(workerProtocol.commands::push));
   }
 
@@ -107,14 +107,14 @@
   // ---- changes of records ----
 
   private void onRecordChanged(String kind, String name) {
-    cluster.jobIndex.changed(kind, name);
+    cluster.jobIndex.onChange(kind, name);
     membership.recordChanged(kind, name);
     calendar.changed(kind, name);
     migrations.changed(kind, name);
     switch (kind) {
       case Replica.JOBS -> cluster.onJobChanged(name);
       case Replica.CANCELS -> onCancellation(name);
-      case Replica.BLOCKS -> cluster.blocks.changed(name).forEach(cluster::onBlockChanged);
+      case Replica.BLOCKS -> cluster.blocks.onChange(name).forEach(cluster::onBlockChanged);
       case Replica.SHARDS -> placementLog.forget();
       case Replica.TYPES -> {
         if (cluster.machineTypes.isEmpty() && cluster.replica.get(kind, name) != null) {
@@ -267,7 +267,7 @@
   }
 
   private void tickAdmission(long now) {
-    jobService.admission().tick(cluster.store.acceptsPerSecond(), now);
+    jobService.admission().tick(cluster.store.acceptancesPerSecond(), now);
   }
 
   private boolean isLeader() {
@@ -328,7 +328,7 @@
             + " machines="
             + cluster.blocks.hosts().size()
             + " state service: "
-            + cluster.store.figures());
+            + cluster.store.metrics());
   }
 
   /** Runs one placement round; returns the milliseconds to pause before the next one. */
@@ -362,7 +362,7 @@
   private boolean isCurrentOwner() {
     return !cluster.ownedShards.isEmpty()
         && cluster.feed.synced()
-        && cluster.feed.silentMs() < Constants.STALE_MS;
+        && cluster.feed.stalenessMs() < Constants.STALE_MS;
   }
 
   /**
@@ -371,7 +371,8 @@
    */
   private void updateRateShares() {
     boolean ownsLeasedShard = membership.leasedShards().stream().anyMatch(cluster::owns);
-    cluster.feed.pause(ownsLeasedShard ? Constants.WATCH_PAUSE_MS : Constants.WATCH_CALM_MS);
+    cluster.feed.setWatchPause(
+        ownsLeasedShard ? Constants.WATCH_PAUSE_MS : Constants.WATCH_CALM_MS);
     membership.shareRates();
   }
 
@@ -404,7 +405,7 @@
     boolean current =
         cluster.feed.synced()
             && !cluster.machineTypes.isEmpty()
-            && cluster.feed.silentMs() < Constants.STALE_MS;
+            && cluster.feed.stalenessMs() < Constants.STALE_MS;
     boolean isStarting =
         cluster.now() - startedAtMs < Constants.BEGIN_MS && !membership.hasActivePeers();
     return current || isStarting || membership.areAllPeersDisconnected();
--- a/src/main/java/dunlincroft/coordination/Demand.java
+++ b/src/main/java/dunlincroft/coordination/Demand.java
@@ -77,7 +77,7 @@
       Room remaining = remainingLimits.getOrDefault(team.name(), team.limit());
       // A replica that is to move needs capacity at its destination before it leaves its machine.
       int demandedTasks =
-          spec.room().countIn(remaining, job.wanted() + cluster.misplacedReplicas(job));
+          spec.room().countIn(remaining, job.runnableTasks() + cluster.misplacedReplicas(job));
       remainingLimits.put(team.name(), remaining.minus(spec.room().times(demandedTasks)));
       MachineDemand demand =
           demandByType.computeIfAbsent(type.label(), label -> new MachineDemand());
@@ -148,7 +148,7 @@
           && (!machineClass.lendable() || cluster.policy.spot(spec))
           && !isCancelled(spec)
           && cluster.needsMachines(spec)) {
-        work.merge(job.shard, machinesFor(spec, type, job.wanted()), Double::sum);
+        work.merge(job.shard, machinesFor(spec, type, job.runnableTasks()), Double::sum);
       }
     }
     return work;
@@ -159,7 +159,7 @@
     Map<String, Room> work = new HashMap<>();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
       if (job.spec.owner().equals(team) && !isCancelled(job.spec)) {
-        work.merge(job.shard, job.spec.room().times(job.wanted()), Room::plus);
+        work.merge(job.shard, job.spec.room().times(job.runnableTasks()), Room::plus);
       }
     }
     return work;
--- a/src/main/java/dunlincroft/coordination/FenceRaiser.java
+++ b/src/main/java/dunlincroft/coordination/FenceRaiser.java
@@ -20,7 +20,7 @@
 
   /** Rewrites the block's key: commands still in flight under the older fence become void. */
   void raise(Machine machine) {
-    BlockIndex.Block block = world.blocks.of(machine.host);
+    BlockIndex.Block block = world.blocks.blockOf(machine.host);
     if (machine.raising || block == null) {
       return;
     }
--- a/src/main/java/dunlincroft/coordination/Handover.java
+++ b/src/main/java/dunlincroft/coordination/Handover.java
@@ -25,7 +25,7 @@
     world.blocks.all().forEach(block -> shards.add(block.record().shard()));
     world
         .replica
-        .kind(Replica.SHARES)
+        .items(Replica.SHARES)
         .values()
         .forEach(item -> item.data().fieldNames().forEachRemaining(shards::add));
     if (shards.size() < 2) {
--- a/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
@@ -54,7 +54,7 @@
       unavailable(UnavailableCause.NOT_SYNCED, out);
       return;
     }
-    BlockIndex.Block block = world.blocks.of(report.host());
+    BlockIndex.Block block = world.blocks.blockOf(report.host());
     if (block == null) {
       unknown(report, out);
       return;
--- a/src/main/java/dunlincroft/coordination/JobDesk.java
+++ b/src/main/java/dunlincroft/coordination/JobDesk.java
@@ -85,7 +85,7 @@
     if (!world.feed.synced()) {
       return UnavailableCause.NOT_SYNCED;
     }
-    return world.feed.silentMs() < Constants.STALE_MS ? null : UnavailableCause.OUT_OF_TOUCH;
+    return world.feed.stalenessMs() < Constants.STALE_MS ? null : UnavailableCause.OUT_OF_TOUCH;
   }
 
   /** The same consumer; whoever is answered "not now" is counted by the cause. */
@@ -140,12 +140,12 @@
   private void create(JobSpec spec, String owner, Consumer<Outcome> then) {
     String ref = spec.ref();
     ObjectNode record =
-        JobIndex.record(spec, owner, world.settings.pageTasks(), world.env.wallMillis());
+        JobIndex.newRecord(spec, owner, world.settings.pageTasks(), world.env.wallMillis());
     boolean prod = spec.rank() == JobSpec.Rank.PROD;
     Urgency urgency = prod ? Urgency.ACCEPT_PROD : Urgency.ACCEPT;
     TrafficClass flow = new TrafficClass(spec.owner(), spec.jobclass(), prod);
     Admission.Verdict verdict =
-        admission.offer(ref, flow, world.store.waitMs(urgency, 1), world.now());
+        admission.offer(ref, flow, world.store.expectedWaitMs(urgency, 1), world.now());
     if (!verdict.admitted()) {
       then.accept(Outcome.later(ref, UnavailableCause.NO_TURN, verdict.retryAfterS()));
       return;
@@ -234,7 +234,7 @@
     state(
         ref,
         outcome -> {
-          if (outcome.verdict != Verdict.NOT_FOUND || !world.replica.endsForgotten()) {
+          if (outcome.verdict != Verdict.NOT_FOUND || !world.replica.hasEvictedFinalStates()) {
             then.accept(outcome);
             return;
           }
@@ -282,11 +282,11 @@
           } else if (job == null) {
             then.accept(Outcome.of(Verdict.NOT_FOUND, ref));
           } else if (cancel != null) {
-            then.accept(withdrawn(ref, cancel.stamp(), job.done()));
+            then.accept(withdrawn(ref, cancel.stamp(), job.doneCount()));
           } else {
-            int placed = job.placed();
+            int placed = job.placedCount();
             String status = placed > 0 ? Wire.RUNNING : Wire.PENDING;
-            then.accept(new Outcome(Verdict.OK, ref, status, job.done(), placed));
+            then.accept(new Outcome(Verdict.OK, ref, status, job.doneCount(), placed));
           }
         });
   }
@@ -324,7 +324,7 @@
                   case OK -> {
                     LOG.info("job {} cancelled by its user", ref);
                     // The barrier came after the request: nobody was told of more before it.
-                    then.accept(withdrawn(ref, result.epoch(), outcome.done));
+                    then.accept(withdrawn(ref, result.revision(), outcome.done));
                   }
                   case CONFLICT -> state(ref, then);
                   default -> then.accept(Outcome.unavailable(ref, UnavailableCause.NO_ANSWER));
--- a/src/main/java/dunlincroft/coordination/JobRecord.java
+++ b/src/main/java/dunlincroft/coordination/JobRecord.java
@@ -129,7 +129,7 @@
   void load(JobIndex.Job from) {
     recordedDone.or(from.doneTasks());
     for (int number : from.pageNumbers()) {
-      pageAt(number).oldest = from.oldest(number);
+      pageAt(number).oldest = from.oldestUncovered(number);
     }
   }
 
--- a/src/main/java/dunlincroft/coordination/JobRun.java
+++ b/src/main/java/dunlincroft/coordination/JobRun.java
@@ -2,8 +2,8 @@
 
 import dunlincroft.Constants;
 import dunlincroft.bookkeeping.JobIndex;
-import dunlincroft.conditions.Condition.End;
-import dunlincroft.conditions.Sides;
+import dunlincroft.conditions.Condition.CutOffAction;
+import dunlincroft.conditions.MigrationSides;
 import dunlincroft.protocol.JobSpec;
 import it.unimi.dsi.fastutil.ints.Int2ObjectLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
@@ -55,7 +55,7 @@
   boolean strict;
 
   /** The sides that its tasks are shared out over; null: none. */
-  Sides sides;
+  MigrationSides sides;
 
   /** The side for which places are sought at present. */
   private int side = -1;
@@ -174,7 +174,7 @@
   /** Takes over what the records say. */
   void load(JobIndex.Job from) {
     faulty = from.faulty();
-    ran = !faulty && from.done() > 0;
+    ran = !faulty && from.doneCount() > 0;
     from.doneTasks().stream().forEach(this::finish);
     record.load(from);
   }
@@ -254,7 +254,7 @@
   /** The first waiting task from {@code from} on, of the side that is sought for, or -1. */
   int nextWaiting(int from) {
     int task = busy.nextClearBit(from);
-    while (side >= 0 && task < spec.pieces() && sides.of(task) != side) {
+    while (side >= 0 && task < spec.pieces() && sides.sideOf(task) != side) {
       task = busy.nextClearBit(task + 1);
     }
     return task < spec.pieces() ? task : -1;
@@ -267,11 +267,11 @@
 
   /** Whether a task is where its side is. */
   boolean onItsSide(Placement p) {
-    return sides == null || has(sides.of(p.task), p.machine);
+    return sides == null || has(sides.sideOf(p.task), p.machine);
   }
 
   private boolean has(int wanted, Machine machine) {
-    return sides.has(wanted, machine.host, machine.flavour, machine.hall, machine.lendable);
+    return sides.contains(wanted, machine.host, machine.flavour, machine.hall, machine.lendable);
   }
 
   /** Marks a placement as one that is to go. */
@@ -294,9 +294,9 @@
   }
 
   /** What a condition makes of its tasks now; null: nothing. A cancelled job stays so. */
-  void endedBy(End end) {
+  void endedBy(CutOffAction end) {
     if (stopMode != StopMode.ABANDON) {
-      stopMode = end == End.STOP ? StopMode.WITHOUT_SAVING : StopMode.SAVE_FIRST;
+      stopMode = end == CutOffAction.STOP ? StopMode.WITHOUT_SAVING : StopMode.SAVE_FIRST;
     }
   }
 
--- a/src/main/java/dunlincroft/coordination/Ledger.java
+++ b/src/main/java/dunlincroft/coordination/Ledger.java
@@ -108,7 +108,7 @@
       if (log.busy) {
         continue;
       }
-      boolean free = world.store.writesFree() > 0;
+      boolean free = world.store.availableWrites() > 0;
       boolean starts =
           news.stream()
               .anyMatch(
@@ -123,7 +123,7 @@
         save(log);
       }
     }
-    world.store.backlog(backlog);
+    world.store.setBacklog(backlog);
   }
 
   private static boolean prod(JobRun job) {
@@ -228,10 +228,10 @@
         txn,
         result -> {
           switch (result.outcome()) {
-            case OK -> recorded(log, number, slot, result.epoch(), news);
+            case OK -> recorded(log, number, slot, result.revision(), news);
             case REFUSED -> notRecorded(log, news);
             case CONFLICT -> {
-              conflict(result.failed());
+              conflict(result.failedKeys());
               reread(log, number, slot, news);
             }
             default -> reread(log, number, slot, news);
@@ -320,7 +320,7 @@
       }
     }
     behind.sort(Comparator.comparingLong(page -> page.oldest));
-    int most = Math.min(world.store.writesFree(), world.settings.txnOps());
+    int most = Math.min(world.store.availableWrites(), world.settings.txnOps());
     Txn txn = new Txn().guard(Wire.key(Replica.SHARDS, log.shard), log.heldSince);
     List<JobPage> pages = new ArrayList<>();
     int bytes = 0;
@@ -349,7 +349,7 @@
           LOG.debug("{} pages of shard {} written: {}", pages.size(), log.shard, result.outcome());
           for (JobPage page : pages) {
             if (result.ok()) {
-              page.stamp = result.epoch();
+              page.stamp = result.revision();
               page.oldest = 0;
               page.uncertain = false;
             } else {
@@ -460,7 +460,8 @@
             dirty.remove(job);
             return;
           }
-          LOG.info("end of job {} not written: {} {}", job.id, result.outcome(), result.failed());
+          LOG.info(
+              "end of job {} not written: {} {}", job.id, result.outcome(), result.failedKeys());
           kept.forEach(this::reread);
           world.feed.barrier(
               ok -> {
@@ -473,7 +474,7 @@
   /** Removes pages whose job is over, a few at a time. The leader does it. */
   void sweep() {
     Txn txn = new Txn();
-    for (String name : world.replica.kind(Replica.PAGES).keySet()) {
+    for (String name : world.replica.items(Replica.PAGES).keySet()) {
       String id = name.substring(0, name.lastIndexOf('/'));
       if (world.replica.get(Replica.JOBS, id) == null
           && world.replica.get(Replica.ENDED, id) != null
--- a/src/main/java/dunlincroft/coordination/MachineDiscovery.java
+++ b/src/main/java/dunlincroft/coordination/MachineDiscovery.java
@@ -93,7 +93,7 @@
   }
 
   private boolean isNew(String host) {
-    return world.blocks.of(host) == null
+    return world.blocks.blockOf(host) == null
         && !isOffered(host)
         && !newcomers.containsKey(host)
         && !isGone(host);
@@ -161,7 +161,7 @@
       return;
     }
     offered.keySet().removeIf(name -> world.blocks.get(name) != null);
-    newcomers.keySet().removeIf(host -> world.blocks.of(host) != null);
+    newcomers.keySet().removeIf(host -> world.blocks.blockOf(host) != null);
     settle();
     group();
     record();
@@ -224,7 +224,7 @@
    * became of them.
    */
   private void settle() {
-    Item last = world.replica.get(Replica.ADOPTIONS, LAST);
+    Item last = world.replica.get(Replica.DISCOVERED_BLOCKS, LAST);
     if (last != null) {
       last.data().path(MADE).forEach(name -> made.add(name.asText()));
     }
@@ -248,11 +248,11 @@
     List<String> names = new ArrayList<>();
     Set<String> hosts = new HashSet<>();
     ObjectNode last = Cbor.map();
-    String lastKey = Wire.key(Replica.ADOPTIONS, LAST);
+    String lastKey = Wire.key(Replica.DISCOVERED_BLOCKS, LAST);
     Txn txn =
         members
             .guardAsLeader(new Txn())
-            .guard(lastKey, world.replica.stamp(Replica.ADOPTIONS, LAST))
+            .guard(lastKey, world.replica.stamp(Replica.DISCOVERED_BLOCKS, LAST))
             .put(lastKey, last);
     for (Map.Entry<String, BlockRecord> entry : offered.entrySet()) {
       if (txn.size() < world.settings.txnOps() && !made.contains(entry.getKey())) {
--- a/src/main/java/dunlincroft/coordination/MachineHandover.java
+++ b/src/main/java/dunlincroft/coordination/MachineHandover.java
@@ -53,7 +53,7 @@
     helpWaiting(room);
     Map<BlockIndex.Block, Map<String, List<Machine>>> ready = new LinkedHashMap<>();
     for (Machine machine : world.machines.values()) {
-      BlockIndex.Block block = world.blocks.of(machine.host);
+      BlockIndex.Block block = world.blocks.blockOf(machine.host);
       if (machine.moveTo != null && !machine.moving && block != null && movable(machine)) {
         ready
             .computeIfAbsent(block, b -> new HashMap<>())
@@ -137,7 +137,7 @@
   /** Jobs with tasks that wait, the first {@code CLAIMS_LOOKED_AT} in the order of service. */
   private List<JobIndex.Job> waiting() {
     return world.jobIndex.all().values().stream()
-        .filter(job -> job.wanted() > job.placed())
+        .filter(job -> job.runnableTasks() > job.placedCount())
         .filter(job -> !demand.isCancelled(job.spec) && world.needsMachines(job.spec))
         .sorted(ShareHandover.ORDER)
         .limit(Constants.CLAIMS_LOOKED_AT)
--- a/src/main/java/dunlincroft/coordination/MachineList.java
+++ b/src/main/java/dunlincroft/coordination/MachineList.java
@@ -122,7 +122,7 @@
   }
 
   private void listed(Listing machine) {
-    if (world.blocks.of(machine.host()) == null) {
+    if (world.blocks.blockOf(machine.host()) == null) {
       // The list lags: a machine returned a moment ago still shows. One that stays is unexpected.
       if (members.isLeader()
           && !discovery.isGone(machine.host())
--- a/src/main/java/dunlincroft/coordination/MachineReleaser.java
+++ b/src/main/java/dunlincroft/coordination/MachineReleaser.java
@@ -146,7 +146,7 @@
       reports.clear(p, "released");
     }
     machine.lifecycle = machine.lifecycle.onReleaseConfirmed();
-    if (machine.blockStamp == 0 || world.blocks.of(machine.host) == null) {
+    if (machine.blockStamp == 0 || world.blocks.blockOf(machine.host) == null) {
       world.onMachineReleased(machine);
     }
   }
@@ -158,7 +158,9 @@
     Map<BlockIndex.Block, List<String>> gone = new LinkedHashMap<>();
     for (Machine machine : world.machines.values()) {
       BlockIndex.Block block =
-          machine.lifecycle == MachineLifecycle.RELEASED ? world.blocks.of(machine.host) : null;
+          machine.lifecycle == MachineLifecycle.RELEASED
+              ? world.blocks.blockOf(machine.host)
+              : null;
       if (block != null && !recording.contains(block.name())) {
         gone.computeIfAbsent(block, b -> new ArrayList<>()).add(machine.host);
       }
--- a/src/main/java/dunlincroft/coordination/RecordedCapacity.java
+++ b/src/main/java/dunlincroft/coordination/RecordedCapacity.java
@@ -113,7 +113,7 @@
   private Map<String, Integer> tasksPerZone(JobIndex.Job job) {
     Map<String, Integer> tasksPerZone = new HashMap<>();
     for (Place place : job.places()) {
-      BlockIndex.Block block = cluster.blocks.of(place.host());
+      BlockIndex.Block block = cluster.blocks.blockOf(place.host());
       if (block != null) {
         tasksPerZone.merge(block.record().blockClass().hall(), 1, Integer::sum);
       }
--- a/src/main/java/dunlincroft/coordination/Renting.java
+++ b/src/main/java/dunlincroft/coordination/Renting.java
@@ -261,11 +261,11 @@
     progress.keySet().retainAll(world.jobIndex.all().keySet());
     for (Map.Entry<String, JobIndex.Job> entry : world.jobIndex.all().entrySet()) {
       JobIndex.Job job = entry.getValue();
-      int started = job.done() + job.placed();
+      int started = job.doneCount() + job.placedCount();
       Progress last = progress.get(entry.getKey());
       if (last == null
           || last.started != started
-          || (job.placed() >= job.wanted() && world.misplacedReplicas(job) == 0)
+          || (job.placedCount() >= job.runnableTasks() && world.misplacedReplicas(job) == 0)
           || job.faulty()) {
         progress.put(entry.getKey(), new Progress(started, world.now()));
       } else if (world.now() - last.since > Constants.STARVED_MS) {
@@ -285,7 +285,7 @@
     Room taken = spec.room();
     for (JobIndex.Job other : world.jobIndex.all().values()) {
       if (other.spec.owner().equals(spec.owner())) {
-        taken = taken.plus(other.spec.room().times(other.placed()));
+        taken = taken.plus(other.spec.room().times(other.placedCount()));
       }
     }
     Demand.MachineDemand need =
--- a/src/main/java/dunlincroft/coordination/ReplicaHeadroom.java
+++ b/src/main/java/dunlincroft/coordination/ReplicaHeadroom.java
@@ -147,7 +147,7 @@
   }
 
   private static int replicasToMove(JobIndex.Job job, Set<String> lostHosts) {
-    return missingReplicas(job, lostHosts) - (job.wanted() - job.placed());
+    return missingReplicas(job, lostHosts) - (job.runnableTasks() - job.placedCount());
   }
 
   /** Machines in blocks that do not serve; replicas recorded there move elsewhere. */
@@ -183,7 +183,7 @@
   }
 
   private static int missingReplicas(JobIndex.Job job, Set<String> lostHosts) {
-    int count = job.wanted() - job.placed();
+    int count = job.runnableTasks() - job.placedCount();
     for (Place place : job.places()) {
       count += lostHosts.contains(place.host()) ? 1 : 0;
     }
@@ -199,7 +199,7 @@
         .values()
         .forEach(team -> remainingLimits.put(team.name(), team.limit()));
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
-      Room used = job.spec.room().times(job.placed());
+      Room used = job.spec.room().times(job.placedCount());
       remainingLimits.computeIfPresent(
           job.spec.owner(), (team, remaining) -> remaining.minus(used));
     }
@@ -272,7 +272,8 @@
     Map<String, Integer> replicasPerZone = replicasPerZone(job, lostHosts);
     int replicasToMove = replicasToMove(job, lostHosts);
     int newReplicas =
-        spec.room().countIn(remainingLimits.get(team.name()), job.wanted() - job.placed());
+        spec.room()
+            .countIn(remainingLimits.get(team.name()), job.runnableTasks() - job.placedCount());
     remainingLimits.merge(team.name(), spec.room().times(newReplicas), Room::minus);
     int number = Math.min(replicasToMove + newReplicas, Constants.REPLICAS_LOOKED_AT);
     for (int i = 0; i < number; i++) {
@@ -299,7 +300,7 @@
     Map<String, Integer> replicasPerZone = new HashMap<>();
     for (Place place : job.places()) {
       BlockIndex.Block block =
-          lostHosts.contains(place.host()) ? null : cluster.blocks.of(place.host());
+          lostHosts.contains(place.host()) ? null : cluster.blocks.blockOf(place.host());
       if (block != null) {
         replicasPerZone.merge(block.record().blockClass().hall(), 1, Integer::sum);
       }
--- a/src/main/java/dunlincroft/coordination/ReportHandler.java
+++ b/src/main/java/dunlincroft/coordination/ReportHandler.java
@@ -138,7 +138,7 @@
       machine.failedJobs.clear();
       faults.ranWell(p);
       if (p.runningSinceMs > 0) {
-        world.conditions.ran(p.job.spec, (world.now() - p.runningSinceMs) / 1000.0);
+        world.conditions.onTaskFinished(p.job.spec, (world.now() - p.runningSinceMs) / 1000.0);
       }
       LOG.debug("{} try {} is done on host {}", p.taskName(), p.attempt, machine.host);
       p.job.clear(p);
--- a/src/main/java/dunlincroft/coordination/ReservationHistory.java
+++ b/src/main/java/dunlincroft/coordination/ReservationHistory.java
@@ -44,7 +44,7 @@
   boolean isDeferred(JobIndex.Job job, boolean canStart) {
     long now = cluster.now();
     String ref = job.spec.ref();
-    int startedTasks = job.done() + job.placed();
+    int startedTasks = job.doneCount() + job.placedCount();
     Observation previous = observations.get(ref);
     if (previous != null && previous.startedTasks != startedTasks) {
       previous = null;
--- a/src/main/java/dunlincroft/coordination/Scheduler.java
+++ b/src/main/java/dunlincroft/coordination/Scheduler.java
@@ -4,7 +4,7 @@
 import dunlincroft.Settings;
 import dunlincroft.bookkeeping.JobIndex;
 import dunlincroft.bookkeeping.Replica;
-import dunlincroft.conditions.Sides;
+import dunlincroft.conditions.MigrationSides;
 import dunlincroft.coordination.Machine.Warmth;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.JobSpec.Rank;
@@ -191,7 +191,7 @@
           || !cluster.needsMachines(job.spec)) {
         continue;
       }
-      long openTasks = job.wanted();
+      long openTasks = job.runnableTasks();
       Room sum =
           usageByTeam.getOrDefault(team.name(), Room.NONE).plus(job.spec.room().times(openTasks));
       usageByTeam.put(team.name(), sum);
@@ -312,7 +312,7 @@
    */
   private int placeByMigrationSide(JobRun job, int maxTasks) {
     int placed = 0;
-    for (int side : new int[] {Sides.OLD, Sides.NEW}) {
+    for (int side : new int[] {MigrationSides.OLD, MigrationSides.NEW}) {
       int waiting = Math.min(maxTasks - placed, job.seek(side));
       // Unplaceable requests are remembered for both sides together, never for one side alone.
       placed += waiting == 0 ? 0 : placeJob(job, waiting, roundStartMs);
--- a/src/main/java/dunlincroft/coordination/ShardLog.java
+++ b/src/main/java/dunlincroft/coordination/ShardLog.java
@@ -61,11 +61,11 @@
   ShardLog(ClusterState world, String shard) {
     this.shard = shard;
     this.heldSince = world.ownedShards.getLong(shard);
-    this.number = world.jobIndex.lastNumber(shard);
+    this.number = world.jobIndex.lastEntryNumber(shard);
     this.settled = number;
     world
         .replica
-        .kind(Replica.LOGS)
+        .items(Replica.LOGS)
         .forEach(
             (name, item) -> {
               int slash = name.lastIndexOf('/');
--- a/src/main/java/dunlincroft/coordination/ShareHandover.java
+++ b/src/main/java/dunlincroft/coordination/ShareHandover.java
@@ -94,7 +94,7 @@
   private Map<String, List<JobIndex.Job>> waitingByTeam() {
     Map<String, List<JobIndex.Job>> waitingJobs = new HashMap<>();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
-      if (job.wanted() > job.placed()
+      if (job.runnableTasks() > job.placedCount()
           && !demand.isCancelled(job.spec)
           && cluster.needsMachines(job.spec)
           && cluster.replica.get(Replica.SHARDS, job.shard) != null) {
@@ -160,7 +160,7 @@
     Map<String, Room> usage = new HashMap<>();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
       if (job.spec.owner().equals(team) && !cluster.owns(job.shard)) {
-        usage.merge(job.shard, job.spec.room().times(job.placed()), Room::plus);
+        usage.merge(job.shard, job.spec.room().times(job.placedCount()), Room::plus);
       }
     }
     for (String shard : shards) {
@@ -182,7 +182,7 @@
       if (claims.size() == Constants.CLAIMS_LOOKED_AT) {
         break;
       }
-      int waitingTasks = job.wanted() - job.placed();
+      int waitingTasks = job.runnableTasks() - job.placedCount();
       int maxTasks = Math.min(waitingTasks, Constants.CLAIM_TASKS);
       int tasks = capacity.countFitting(job, job.shard, maxTasks);
       Room unused =
--- a/src/main/java/dunlincroft/coordination/StandIn.java
+++ b/src/main/java/dunlincroft/coordination/StandIn.java
@@ -40,7 +40,7 @@
 
   /** Another controller handed a cancellation to us. */
   void cancelled(String job) {
-    cancelled.values().removeIf(toldAt -> toldAt < world.feed.currentAt());
+    cancelled.values().removeIf(toldAt -> toldAt < world.feed.currentAsOf());
     cancelled.put(job, world.now());
   }
 
@@ -68,7 +68,7 @@
    * hear from its workers.
    */
   private boolean outage() {
-    return world.feed.silentMs() > Constants.STALE_MS && members.isCommonOutage();
+    return world.feed.stalenessMs() > Constants.STALE_MS && members.isCommonOutage();
   }
 
   /** What a worker is told: to stop what is cancelled, and else to go on. */
--- a/src/main/java/dunlincroft/coordination/StartConditions.java
+++ b/src/main/java/dunlincroft/coordination/StartConditions.java
@@ -1,8 +1,8 @@
 package dunlincroft.coordination;
 
 import dunlincroft.Constants;
-import dunlincroft.conditions.Condition.End;
-import dunlincroft.conditions.Ruling;
+import dunlincroft.conditions.Condition.CutOffAction;
+import dunlincroft.conditions.Decision;
 import dunlincroft.protocol.Wire;
 import java.util.LinkedHashSet;
 import java.util.Map;
@@ -27,15 +27,15 @@
     if (!cluster.conditions.active()) {
       return true;
     }
-    Ruling decision = cluster.conditions.on(job.spec);
+    Decision decision = cluster.conditions.decide(job.spec);
     if (!decision.guards().equals(job.guards)) {
       job.haltUnrecorded();
       job.guards = decision.guards();
     }
-    job.endsByMs = decision.endsByMs();
-    job.strict = decision.strict();
+    job.endsByMs = decision.deadlineMs();
+    job.strict = decision.noLateStart();
     job.sides = decision.sides();
-    return decision.start();
+    return decision.startAllowed();
   }
 
   /**
@@ -85,7 +85,7 @@
 
   /** Whether a machine of a replica's migration side has free capacity for it. */
   private boolean hasCapacityToMove(JobRun job, Placement p) {
-    job.seek(job.sides.of(p.task));
+    job.seek(job.sides.sideOf(p.task));
     boolean found = false;
     for (Machine machine : cluster.machines.values()) {
       boolean zoneAllowed =
@@ -117,7 +117,7 @@
       if (!job.placed.isEmpty() && mayStart(job) && job.sides != null && movesLeft > 0) {
         movesLeft -= moveOneReplica(job, machinesWithStops);
       }
-      End end = job.placed.isEmpty() ? null : cluster.conditions.end(job.spec);
+      CutOffAction end = job.placed.isEmpty() ? null : cluster.conditions.cutOffAction(job.spec);
       job.endedBy(end);
       if (end == null || job.cancelled) {
         continue;
@@ -125,7 +125,7 @@
       for (Placement p : job.placed.values()) {
         boolean started =
             Wire.RUNNING.equals(p.reportedStatus) || Wire.SAVING.equals(p.reportedStatus);
-        if (!p.stopRequested && (!started || end != End.FINISH)) {
+        if (!p.stopRequested && (!started || end != CutOffAction.FINISH)) {
           job.halt(p);
           machinesWithStops.add(p.machine);
         }
--- a/src/main/java/dunlincroft/coordination/Supply.java
+++ b/src/main/java/dunlincroft/coordination/Supply.java
@@ -118,7 +118,7 @@
     discovery.tick();
     recordShares();
     list.tick();
-    if (!world.machineTypes.isEmpty() && world.feed.silentMs() < Constants.STALE_MS) {
+    if (!world.machineTypes.isEmpty() && world.feed.stalenessMs() < Constants.STALE_MS) {
       renting.tick();
       renting.helpReplicas();
       renting.helpStarved();
@@ -176,7 +176,7 @@
     silentMachines = renting.silentMachines();
     renting.hearOthers();
     cloud.rate(world.settings.cloudRps() * cloudPart());
-    if (world.feed.silentMs() > Constants.STALE_MS || world.ownedShards.isEmpty()) {
+    if (world.feed.stalenessMs() > Constants.STALE_MS || world.ownedShards.isEmpty()) {
       return;
     }
     releaser.tick();
--- a/src/main/java/dunlincroft/coordination/WorkerOrders.java
+++ b/src/main/java/dunlincroft/coordination/WorkerOrders.java
@@ -72,15 +72,15 @@
     for (Placement p : machine.placed.values()) {
       if (p.recorded && !p.inLastReport) {
         if (!p.stopRequested) {
-          if (world.feed.silentMs() > Constants.STALE_MS) {
+          if (world.feed.stalenessMs() > Constants.STALE_MS) {
             continue; // Out of touch: what runs goes on, nothing starts.
           }
-          if (fence > world.replica.epoch()) {
+          if (fence > world.replica.revision()) {
             // No start leaves under a fence above a cancellation that we have not read.
             startSoon(machine);
             continue;
           }
-          if (p.job.strict && (direct || world.conditions.end(p.job.spec) != null)) {
+          if (p.job.strict && (direct || world.conditions.cutOffAction(p.job.spec) != null)) {
             continue;
           }
           p.orderSent = true;
--- a/src/main/java/dunlincroft/documents/DocumentStore.java
+++ b/src/main/java/dunlincroft/documents/DocumentStore.java
@@ -24,8 +24,8 @@
  */
 public final class DocumentStore {
   /** A request to the state service and its answer; waits as long as it must. */
-  public interface Service {
-    Answer ask(String method, String path, ObjectNode body) throws Unreachable;
+  public interface StateClient {
+    Answer call(String method, String path, ObjectNode body) throws Unreachable;
   }
 
   /** An answer: its status and, where there is one, its body. */
@@ -41,15 +41,15 @@
   }
 
   /** Somebody else put a version meanwhile: nothing of ours counts. */
-  public static final class Overtaken extends Exception {
+  public static final class Conflict extends Exception {
     private static final long serialVersionUID = 1;
 
-    Overtaken(String name) {
+    Conflict(String name) {
       super("somebody else has changed " + name + " meanwhile; look at it and try again");
     }
   }
 
-  private final Service service;
+  private final StateClient client;
   private final int valueBytes;
   private final int txnOps;
 
@@ -57,14 +57,14 @@
    * @param valueBytes limit of the state service for one value
    * @param txnOps its limit for the changes of one transaction
    */
-  public DocumentStore(Service service, int valueBytes, int txnOps) {
-    this.service = service;
+  public DocumentStore(StateClient client, int valueBytes, int txnOps) {
+    this.client = client;
     this.valueBytes = valueBytes;
     this.txnOps = txnOps;
   }
 
   private JsonNode read(String key) throws Unreachable {
-    Answer answer = service.ask("GET", Wire.KEYS + "/" + key, null);
+    Answer answer = client.call("GET", Wire.KEYS + "/" + key, null);
     if (answer.status != 200 && answer.status != 404) {
       throw new Unreachable("reading " + key + ": " + answer.status);
     }
@@ -100,56 +100,56 @@
 
   /** Puts a record of its own, which must not be there yet. */
   public void create(String name, String key, JsonNode data)
-      throws Unreachable, Malformed, Overtaken {
+      throws Unreachable, Malformed, Conflict {
     commit(name, Map.of(key, 0L), Map.of(key, data));
   }
 
   /** Puts a text as the newest version; returns its number. */
-  public long put(String name, String text, String by, long nowMs)
-      throws Unreachable, Malformed, Overtaken {
-    JsonNode before = read(Documents.manifestKey(name));
-    List<Version> versions = new ArrayList<>(Documents.versions(data(before)));
+  public long put(String name, String text, String author, long nowMs)
+      throws Unreachable, Malformed, Conflict {
+    JsonNode currentManifest = read(Documents.manifestKey(name));
+    List<Version> versions = new ArrayList<>(Documents.versions(data(currentManifest)));
     // Above all that is left of anybody's try, so that no page of it is taken for one of ours.
-    long number = 1 + highest(name, versions);
+    long number = 1 + highestNumber(name, versions);
     List<String> pages = Documents.pages(text, valueBytes);
     for (int page = 0; page < pages.size(); page++) {
       String key = Documents.pageKey(name, number, page);
       commit(name, Map.of(key, 0L), Map.of(key, Documents.page(pages.get(page))));
     }
-    versions.add(new Version(number, pages.size(), by, nowMs));
-    Version ours = versions.get(versions.size() - 1);
+    versions.add(new Version(number, pages.size(), author, nowMs));
+    Version added = versions.get(versions.size() - 1);
     String key = Documents.manifestKey(name);
     commit(
         name,
-        Map.of(key, stamp(before)),
+        Map.of(key, stamp(currentManifest)),
         Map.of(key, Documents.manifest(versions)),
         // Somebody may have put a newer one on top of ours before we knew that ours is there.
-        () -> history(name).contains(ours));
-    sweep(name);
+        () -> history(name).contains(added));
+    removeUnreferencedPages(name);
     return number;
   }
 
-  private long highest(String name, List<Version> versions) throws Unreachable, Malformed {
+  private long highestNumber(String name, List<Version> versions) throws Unreachable, Malformed {
     long highest = versions.stream().mapToLong(Version::number).max().orElse(0);
     for (String key : pageKeys(name)) {
-      highest = Math.max(highest, number(key));
+      highest = Math.max(highest, versionNumber(key));
     }
     return highest;
   }
 
-  private static long number(String key) {
+  private static long versionNumber(String key) {
     String[] parts = key.split("/");
     return Long.parseLong(parts[parts.length - 2]);
   }
 
   private Set<String> pageKeys(String name) throws Unreachable, Malformed {
     Set<String> keys = new HashSet<>();
-    String under = Wire.key(Replica.DOC_PAGES, name + "/");
+    String under = Wire.key(Replica.DOCUMENT_PAGES, name + "/");
     String path = Wire.KEYS + "?under=" + under + "&most=" + Constants.KEY_PAGE;
     String since = "";
     boolean more = true;
     while (more) {
-      Answer answer = service.ask("GET", path + since, null);
+      Answer answer = client.call("GET", path + since, null);
       if (answer.status != 200) {
         throw new Unreachable("listing pages of " + name + ": " + answer.status);
       }
@@ -168,37 +168,39 @@
    * Removes pages that no version names and that no newer version can be made of. One that is being
    * put has a higher number than all named, and is left alone.
    */
-  private void sweep(String name) throws Unreachable, Malformed, Overtaken {
+  private void removeUnreferencedPages(String name) throws Unreachable, Malformed, Conflict {
     List<Version> versions = history(name);
     long newest = versions.get(versions.size() - 1).number();
-    Set<Long> named = new HashSet<>();
-    versions.forEach(version -> named.add(version.number()));
-    List<String> left =
+    Set<Long> referenced = new HashSet<>();
+    versions.forEach(version -> referenced.add(version.number()));
+    List<String> unreferenced =
         pageKeys(name).stream()
-            .filter(key -> number(key) < newest && !named.contains(number(key)))
+            .filter(key -> versionNumber(key) < newest && !referenced.contains(versionNumber(key)))
             .sorted()
             .toList();
-    for (int at = 0; at < left.size(); at += txnOps) {
+    for (int offset = 0; offset < unreferenced.size(); offset += txnOps) {
       Map<String, JsonNode> removals = new LinkedHashMap<>();
-      left.subList(at, Math.min(left.size(), at + txnOps)).forEach(key -> removals.put(key, null));
+      unreferenced
+          .subList(offset, Math.min(unreferenced.size(), offset + txnOps))
+          .forEach(key -> removals.put(key, null));
       commit(name, Map.of(), removals);
     }
   }
 
   /** Looks up whether a transaction was applied whose answer was lost. */
-  private interface LookUp {
-    boolean applied() throws Unreachable, Malformed;
+  private interface AppliedCheck {
+    boolean isApplied() throws Unreachable, Malformed;
   }
 
   private void commit(String name, Map<String, Long> guards, Map<String, JsonNode> puts)
-      throws Unreachable, Malformed, Overtaken {
-    commit(name, guards, puts, () -> applied(puts));
+      throws Unreachable, Malformed, Conflict {
+    commit(name, guards, puts, () -> isApplied(puts));
   }
 
   /** One transaction; null data removes. An unanswered one is looked up and tried again. */
   private void commit(
-      String name, Map<String, Long> guards, Map<String, JsonNode> puts, LookUp lookUp)
-      throws Unreachable, Malformed, Overtaken {
+      String name, Map<String, Long> guards, Map<String, JsonNode> puts, AppliedCheck appliedCheck)
+      throws Unreachable, Malformed, Conflict {
     ObjectNode body = Cbor.map();
     ArrayNode checks = body.putArray("guards");
     guards.forEach((key, stamp) -> checks.addObject().put("key", key).put("stamp", stamp));
@@ -211,27 +213,27 @@
             apply.addObject().put("put", key).set("data", data);
           }
         });
-    boolean doubt = false;
+    boolean outcomeUnknown = false;
     for (int tries = 0; tries < Constants.DOCUMENT_TRIES; tries++) {
-      Answer answer = service.ask("POST", Wire.MULTI, body);
+      Answer answer = client.call("POST", Wire.MULTI, body);
       if (answer.status == 200) {
         return;
       }
       if (answer.status == 409) {
-        if (doubt && lookUp.applied()) {
+        if (outcomeUnknown && appliedCheck.isApplied()) {
           return;
         }
-        throw new Overtaken(name);
+        throw new Conflict(name);
       }
-      doubt |= answer.status == 0;
+      outcomeUnknown |= answer.status == 0;
     }
     throw new Unreachable("the state service refuses changes");
   }
 
-  private boolean applied(Map<String, JsonNode> puts) throws Unreachable {
+  private boolean isApplied(Map<String, JsonNode> puts) throws Unreachable {
     for (Map.Entry<String, JsonNode> put : puts.entrySet()) {
-      JsonNode there = data(read(put.getKey()));
-      if (put.getValue() == null ? there != null : !put.getValue().equals(there)) {
+      JsonNode stored = data(read(put.getKey()));
+      if (put.getValue() == null ? stored != null : !put.getValue().equals(stored)) {
         return false;
       }
     }
--- a/src/main/java/dunlincroft/documents/Documents.java
+++ b/src/main/java/dunlincroft/documents/Documents.java
@@ -19,7 +19,7 @@
  */
 public final class Documents {
   /** A version: its number, its pages, who put it and when (milliseconds of the time of day). */
-  public record Version(long number, int pages, String by, long atMs) {}
+  public record Version(long number, int pages, String author, long createdAtMs) {}
 
   /** A version with its text. */
   public record Text(long version, String text) {}
@@ -33,7 +33,7 @@
 
   /** Key of a page. */
   public static String pageKey(String name, long version, int page) {
-    return Wire.key(Replica.DOC_PAGES, pageName(name, version, page));
+    return Wire.key(Replica.DOCUMENT_PAGES, pageName(name, version, page));
   }
 
   private static String pageName(String name, long version, int page) {
@@ -44,13 +44,13 @@
   public static List<Version> versions(JsonNode manifest) throws Malformed {
     List<Version> versions = new ArrayList<>();
     if (manifest != null) {
-      for (JsonNode each : Fields.list(manifest, "versions")) {
+      for (JsonNode entry : Fields.list(manifest, "versions")) {
         versions.add(
             new Version(
-                Fields.count(each, "number"),
-                (int) Fields.count(each, "pages"),
-                Fields.text(each, "by"),
-                Fields.count(each, "at")));
+                Fields.count(entry, "number"),
+                (int) Fields.count(entry, "pages"),
+                Fields.text(entry, "by"),
+                Fields.count(entry, "at")));
       }
     }
     return versions;
@@ -63,23 +63,23 @@
     versions.stream()
         .skip(Math.max(0, versions.size() - Constants.VERSIONS_KEPT))
         .forEach(
-            each ->
+            kept ->
                 manifest
                     .withArray("versions")
                     .addObject()
-                    .put("number", each.number)
-                    .put("pages", each.pages)
-                    .put("by", each.by)
-                    .put("at", each.atMs));
+                    .put("number", kept.number)
+                    .put("pages", kept.pages)
+                    .put("by", kept.author)
+                    .put("at", kept.createdAtMs));
     return manifest;
   }
 
   /** A text in pieces that each fit into a value of so many bytes, whatever its characters. */
   public static List<String> pages(String text, int valueBytes) {
-    int most = Math.max(1, (valueBytes - Constants.PAGE_FRAME_BYTES) / Constants.CHAR_BYTES);
+    int pageChars = Math.max(1, (valueBytes - Constants.PAGE_FRAME_BYTES) / Constants.CHAR_BYTES);
     List<String> pages = new ArrayList<>();
-    for (int at = 0; at < text.length(); at += most) {
-      pages.add(text.substring(at, Math.min(text.length(), at + most)));
+    for (int offset = 0; offset < text.length(); offset += pageChars) {
+      pages.add(text.substring(offset, Math.min(text.length(), offset + pageChars)));
     }
     return pages;
   }
@@ -118,9 +118,9 @@
             name,
             last,
             key -> {
-              String page = key.substring(Wire.key(Replica.DOC_PAGES, "").length());
-              Replica.Item there = replica.get(Replica.DOC_PAGES, page);
-              return there == null ? null : there.data();
+              String page = key.substring(Wire.key(Replica.DOCUMENT_PAGES, "").length());
+              Replica.Item pageItem = replica.get(Replica.DOCUMENT_PAGES, page);
+              return pageItem == null ? null : pageItem.data();
             });
     return text == null ? null : new Text(last.number, text);
   }
--- a/src/main/java/dunlincroft/documents/PoliteService.java
+++ b/src/main/java/dunlincroft/documents/RateLimitedStateClient.java
@@ -18,8 +18,8 @@
  * there is a pause before each request, a longer one before a change, and more of it when told that
  * there is too much.
  */
-public final class PoliteService implements DocumentStore.Service {
-  private static final int TOO_MUCH = 429;
+public final class RateLimitedStateClient implements DocumentStore.StateClient {
+  private static final int TOO_MANY_REQUESTS = 429;
 
   private final HttpClient client =
       HttpClient.newBuilder()
@@ -31,12 +31,12 @@
   /**
    * @param address of the state service, as IP:PORT
    */
-  public PoliteService(String address) {
+  public RateLimitedStateClient(String address) {
     this.address = address;
   }
 
   @Override
-  public DocumentStore.Answer ask(String method, String path, ObjectNode body)
+  public DocumentStore.Answer call(String method, String path, ObjectNode body)
       throws DocumentStore.Unreachable {
     HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create("http://" + address + path))
@@ -54,7 +54,7 @@
       try {
         Thread.sleep(pause);
         HttpResponse<byte[]> response = client.send(request.build(), BodyHandlers.ofByteArray());
-        if (response.statusCode() == TOO_MUCH || response.statusCode() == 503) {
+        if (response.statusCode() == TOO_MANY_REQUESTS || response.statusCode() == 503) {
           pause *= 2;
           continue;
         }
--- a/src/main/java/dunlincroft/membership/Membership.java
+++ b/src/main/java/dunlincroft/membership/Membership.java
@@ -71,7 +71,7 @@
   public void tick() {
     detector.tick(context.now());
     refute();
-    if (context.feed().silentMs() > Constants.STALE_MS) {
+    if (context.feed().stalenessMs() > Constants.STALE_MS) {
       // This node is itself disconnected, perhaps with its zone: that workers of the zone do not
       // reach an owner elsewhere says nothing about that owner.
       suspicions.forgetAll();
@@ -130,7 +130,7 @@
    * The next heartbeat of this node, with its admission load and its machines that do not respond.
    */
   public Beat heartbeat(Beat.Load load, List<String> silentMachines) {
-    long stateSilentMs = context.feed().silentMs();
+    long stateSilentMs = context.feed().stalenessMs();
     return new Beat(
         context.name(),
         sessionLease.incarnation(),
@@ -140,7 +140,7 @@
         sessionLease.refutations(),
         detector.observations(context.now()),
         load,
-        watermark.createReport(context.now(), context.replica().epoch(), stateSilentMs),
+        watermark.createReport(context.now(), context.replica().revision(), stateSilentMs),
         silentMachines);
   }
 
@@ -160,7 +160,7 @@
     detector.heartbeatReceived(heartbeat, context.now());
     watermark
         .heartbeatReceived(
-            heartbeat, context.now(), context.replica().epoch(), context.feed().currentAt())
+            heartbeat, context.now(), context.replica().revision(), context.feed().currentAsOf())
         .forEach(cancelled -> listener.cancelledByPeer(cancelled.job()));
   }
 
@@ -181,12 +181,12 @@
 
   /** Milliseconds since the time up to which every cancellation that any user was told is known. */
   public long cancellationLagMs() {
-    return context.now() - watermark.value(context.feed().currentAt(), context.now());
+    return context.now() - watermark.value(context.feed().currentAsOf(), context.now());
   }
 
   /** The highest revision of any cancellation known to this node. */
   public long highestCancellationRevision() {
-    return watermark.highestKnownRevision(context.replica().epoch());
+    return watermark.highestKnownRevision(context.replica().revision());
   }
 
   /** A controller refuses connections of this node, or no longer does. */
--- a/src/main/java/dunlincroft/membership/RateSharing.java
+++ b/src/main/java/dunlincroft/membership/RateSharing.java
@@ -2,7 +2,7 @@
 
 import dunlincroft.Settings;
 import dunlincroft.bookkeeping.Replica;
-import dunlincroft.bookkeeping.StateStore.Wish;
+import dunlincroft.bookkeeping.StateStore.RateDemand;
 import dunlincroft.transport.Beat;
 import java.util.ArrayList;
 import java.util.List;
@@ -11,7 +11,7 @@
 final class RateSharing {
   private final NodeContext context;
   private final FailureDetector detector;
-  private Wish demand = new Wish(0, 0);
+  private RateDemand demand = new RateDemand(0, 0);
   private long measuredAt;
 
   RateSharing(NodeContext context, FailureDetector detector) {
@@ -20,7 +20,7 @@
   }
 
   /** Recent demand of this node, in requests and changes a second. */
-  Wish demand() {
+  RateDemand demand() {
     return demand;
   }
 
@@ -31,14 +31,17 @@
   void tick() {
     double seconds = (context.now() - measuredAt) / 1000.0;
     measuredAt = context.now();
-    demand = context.store().wish(Math.max(seconds, 0.001));
-    List<Wish> others = new ArrayList<>();
+    demand = context.store().demand(Math.max(seconds, 0.001));
+    List<RateDemand> others = new ArrayList<>();
     for (Settings.Peer peer : context.settings().others()) {
       Beat heartbeat = detector.heartbeat(peer.node());
       boolean isAlive =
           heartbeat != null && context.replica().get(Replica.CONTROLLERS, peer.node()) != null;
-      others.add(isAlive ? new Wish(heartbeat.requests(), heartbeat.writes()) : new Wish(0, 0));
+      others.add(
+          isAlive
+              ? new RateDemand(heartbeat.requests(), heartbeat.writes())
+              : new RateDemand(0, 0));
     }
-    context.store().share(demand, others);
+    context.store().setShare(demand, others);
   }
 }
--- a/src/main/java/dunlincroft/membership/SessionLease.java
+++ b/src/main/java/dunlincroft/membership/SessionLease.java
@@ -55,7 +55,7 @@
   void start() {
     context
         .store()
-        .hold(
+        .openSession(
             answer -> {
               try {
                 if (answer.status() == 200) {
@@ -77,7 +77,7 @@
   private void renew() {
     context
         .store()
-        .touch(
+        .renewSession(
             id,
             answer -> {
               if (answer.status() == 404) {
--- a/src/main/java/dunlincroft/migration/MigrationLedger.java
+++ b/src/main/java/dunlincroft/migration/MigrationLedger.java
@@ -8,8 +8,8 @@
 import dunlincroft.bookkeeping.StateStore.Urgency;
 import dunlincroft.bookkeeping.Txn;
 import dunlincroft.conditions.Condition;
-import dunlincroft.conditions.Ruling;
-import dunlincroft.conditions.Sides;
+import dunlincroft.conditions.Decision;
+import dunlincroft.conditions.MigrationSides;
 import dunlincroft.documents.Documents;
 import dunlincroft.migration.Migration.Phase;
 import dunlincroft.protocol.BlockClass;
@@ -76,7 +76,7 @@
 
   /** Key under which operators ask for something. */
   public static String askKey(String workload) {
-    return Wire.key(Replica.MIGRATION_ASKS, workload);
+    return Wire.key(Replica.MIGRATION_REQUESTS, workload);
   }
 
   // ---- following the records ----
@@ -95,7 +95,7 @@
           }
         }
       }
-      case Replica.DOCUMENTS, Replica.DOC_PAGES -> documentDue = true;
+      case Replica.DOCUMENTS, Replica.DOCUMENT_PAGES -> documentDue = true;
       default -> {}
     }
   }
@@ -133,31 +133,31 @@
   }
 
   /** The first tasks of a job stand on the new side, as many as its part is. */
-  private record Shared(Workload workload, int onNew) implements Sides {
+  private record Shared(Workload workload, int onNew) implements MigrationSides {
     static Shared of(Migration migration, JobSpec spec) {
       return new Shared(
           migration.workload(), (int) Math.ceil(migration.onNew() * spec.pieces() - 1e-9));
     }
 
     @Override
-    public int of(int task) {
+    public int sideOf(int task) {
       return task < onNew ? NEW : OLD;
     }
 
     @Override
-    public boolean has(int side, String host, String type, String zone, boolean spot) {
+    public boolean contains(int side, String host, String type, String zone, boolean spot) {
       return (side == NEW ? workload.fresh() : workload.old()).has(host, type, zone, spot);
     }
   }
 
   @Override
-  public Ruling on(JobSpec spec) {
+  public Decision decide(JobSpec spec) {
     Migration migration = of(spec);
     if (migration == null) {
-      return Ruling.FREE;
+      return Decision.UNRESTRICTED;
     }
     String name = migration.workload().name();
-    return new Ruling(
+    return new Decision(
         true,
         true,
         Long.MAX_VALUE,
@@ -167,12 +167,12 @@
   }
 
   @Override
-  public End end(JobSpec spec) {
+  public CutOffAction cutOffAction(JobSpec spec) {
     return null;
   }
 
   @Override
-  public void ran(JobSpec spec, double seconds) {}
+  public void onTaskFinished(JobSpec spec, double seconds) {}
 
   // ---- the leader ----
 
@@ -183,7 +183,7 @@
    * @param txnOps the most changes in it
    */
   public void lead(Supplier<Txn> asLeader, int txnOps) {
-    Map<String, Replica.Item> asks = replica.kind(Replica.MIGRATION_ASKS);
+    Map<String, Replica.Item> asks = replica.items(Replica.MIGRATION_REQUESTS);
     if (writing || (migrations.isEmpty() && asks.isEmpty())) {
       return;
     }
@@ -289,12 +289,12 @@
       Shared sides = Shared.of(migration, job.spec);
       int right = 0;
       for (TaskState.Place place : job.places()) {
-        BlockIndex.Block block = blocks.of(place.host());
+        BlockIndex.Block block = blocks.blockOf(place.host());
         if (block != null) {
           BlockClass of = block.record().blockClass();
           boolean there =
-              sides.has(
-                  sides.of(place.task()), place.host(), of.flavour(), of.hall(), of.lendable());
+              sides.contains(
+                  sides.sideOf(place.task()), place.host(), of.flavour(), of.hall(), of.lendable());
           right += there ? 1 : 0;
         }
       }
--- a/src/test/java/dunlincroft/bookkeeping/JobIndexTest.java
+++ b/src/test/java/dunlincroft/bookkeeping/JobIndexTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 
 class JobIndexTest {
-  private static final int PAGE = 4;
+  private static final int PAGE_TASKS = 4;
   private static final int TASKS = 10;
 
   private record Change(String key, JsonNode data, long stamp) {}
@@ -33,10 +33,10 @@
   private static final class Writer {
     private final Random random;
     private final List<Change> history = new ArrayList<>();
-    private final Map<String, Map<Integer, String>> truth = new TreeMap<>();
+    private final Map<String, Map<Integer, String>> expected = new TreeMap<>();
     private ArrayNode slot = Cbor.map().putArray("log");
-    private int slots = 2;
-    private long number;
+    private int slotNumber = 2;
+    private long entryNumber;
 
     Writer(Random random) {
       this.random = random;
@@ -47,25 +47,25 @@
     }
 
     void step() throws Malformed {
-      int what = random.nextInt(8);
-      if (truth.isEmpty() || what == 0) {
+      int action = random.nextInt(8);
+      if (expected.isEmpty() || action == 0) {
         String ref = "run-" + random.nextInt(1000);
-        if (truth.putIfAbsent(ref, new TreeMap<>()) == null) {
-          put(Replica.JOBS, ref, JobIndex.record(spec(ref), "s", PAGE, 1));
+        if (expected.putIfAbsent(ref, new TreeMap<>()) == null) {
+          put(Replica.JOBS, ref, JobIndex.newRecord(spec(ref), "s", PAGE_TASKS, 1));
         }
-      } else if (what == 1) {
-        save(any());
+      } else if (action == 1) {
+        writePage(randomJob());
       } else {
-        news(any());
+        appendLogEntry(randomJob());
       }
     }
 
-    private String any() {
-      List<String> refs = List.copyOf(truth.keySet());
+    private String randomJob() {
+      List<String> refs = List.copyOf(expected.keySet());
       return refs.get(random.nextInt(refs.size()));
     }
 
-    private void news(String ref) {
+    private void appendLogEntry(String ref) {
       BitSet done = new BitSet();
       BitSet free = new BitSet();
       List<TaskState.Place> places = new ArrayList<>();
@@ -79,41 +79,45 @@
         switch (random.nextInt(3)) {
           case 0 -> done.set(task);
           case 1 -> free.set(task);
-          default -> places.add(new TaskState.Place(task, "host-" + random.nextInt(9), number));
+          default ->
+              places.add(new TaskState.Place(task, "host-" + random.nextInt(9), entryNumber));
         }
       }
-      number++;
+      entryNumber++;
       if (slot.size() > 3) {
         slot = Cbor.map().putArray("log");
-        slots = (slots + 37) % 101; // By name a later slot may stand before an earlier one.
+        slotNumber =
+            (slotNumber + 37) % 101; // By name a later slot may stand before an earlier one.
       }
-      slot.add(new LogRecord.Entry(number, ref, new TaskState(done, free, places, false)).toNode());
+      slot.add(
+          new LogRecord.Entry(entryNumber, ref, new TaskState(done, free, places, false)).toNode());
       ObjectNode data = Cbor.map();
       data.set("log", slot.deepCopy());
-      put(Replica.LOGS, JobIndex.slotName("s", slots), data);
-      Map<Integer, String> tasks = truth.get(ref);
+      put(Replica.LOGS, JobIndex.slotName("s", slotNumber), data);
+      Map<Integer, String> tasks = expected.get(ref);
       done.stream().forEach(task -> tasks.put(task, "done"));
       free.stream().forEach(tasks::remove);
       places.forEach(p -> tasks.put(p.task(), p.host() + "#" + p.attempt()));
     }
 
-    private void save(String ref) {
-      int page = random.nextInt((TASKS + PAGE - 1) / PAGE);
+    private void writePage(String ref) {
+      int page = random.nextInt((TASKS + PAGE_TASKS - 1) / PAGE_TASKS);
       BitSet done = new BitSet();
       List<TaskState.Place> places = new ArrayList<>();
-      truth
+      expected
           .get(ref)
           .forEach(
               (task, state) -> {
-                int at = task - page * PAGE;
-                if (at >= 0 && at < PAGE && state.equals("done")) {
+                int at = task - page * PAGE_TASKS;
+                if (at >= 0 && at < PAGE_TASKS && state.equals("done")) {
                   done.set(at);
-                } else if (at >= 0 && at < PAGE) {
+                } else if (at >= 0 && at < PAGE_TASKS) {
                   String[] parts = state.split("#");
                   places.add(new TaskState.Place(at, parts[0], Long.parseLong(parts[1])));
                 }
               });
-      PageRecord record = new PageRecord(new TaskState(done, new BitSet(), places, false), number);
+      PageRecord record =
+          new PageRecord(new TaskState(done, new BitSet(), places, false), entryNumber);
       put(Replica.PAGES, JobIndex.pageName(ref, page), record.toNode());
     }
   }
@@ -140,7 +144,7 @@
             .put("flushS", 0.0));
   }
 
-  private static Map<String, Map<Integer, String>> read(JobIndex index) {
+  private static Map<String, Map<Integer, String>> tasksByJob(JobIndex index) {
     Map<String, Map<Integer, String>> state = new TreeMap<>();
     index
         .all()
@@ -149,7 +153,7 @@
               Map<Integer, String> tasks = new TreeMap<>();
               job.doneTasks().stream().forEach(task -> tasks.put(task, "done"));
               job.places().forEach(p -> tasks.put(p.task(), p.host() + "#" + p.attempt()));
-              assertThat(job.done() + job.placed()).isEqualTo(tasks.size());
+              assertThat(job.doneCount() + job.placedCount()).isEqualTo(tasks.size());
               state.put(ref, tasks);
             });
     return state;
@@ -161,7 +165,7 @@
    * job's tasks for waiting, and ran them twice when it took the shard over.
    */
   @Property(seed = "23", tries = 300)
-  void aReadingAcrossChangesEndsInWhatWasWritten(@ForAll long seed) throws Malformed {
+  void listingDuringChangesConvergesToWrittenState(@ForAll long seed) throws Malformed {
     Random random = new Random(seed);
     Writer writer = new Writer(random);
     for (int i = 0; i < 80; i++) {
@@ -169,7 +173,7 @@
     }
     Replica replica = new Replica();
     JobIndex index = new JobIndex(replica);
-    replica.listener(index::changed);
+    replica.setListener(index::onChange);
     int from = random.nextInt(writer.history.size());
     int moment = from;
     TreeSet<String> keys = new TreeSet<>();
@@ -187,22 +191,22 @@
     for (Change change : writer.history.subList(from, writer.history.size())) {
       replica.put(change.key, change.data, change.stamp);
     }
-    assertThat(read(index)).isEqualTo(writer.truth);
-    assertThat(index.lastNumber("s")).isEqualTo(writer.number);
+    assertThat(tasksByJob(index)).isEqualTo(writer.expected);
+    assertThat(index.lastEntryNumber("s")).isEqualTo(writer.entryNumber);
   }
 
   @Test
-  void whatCannotBeReadIsNotGuessed() throws Malformed {
+  void malformedRecordMakesItsJobsUnreadable() throws Malformed {
     Replica replica = new Replica();
     JobIndex index = new JobIndex(replica);
-    replica.listener(index::changed);
-    replica.put("d/jobs/run-1", JobIndex.record(spec("run-1"), "s", PAGE, 1), 1);
-    replica.put("d/jobs/run-2", JobIndex.record(spec("run-2"), "t", PAGE, 1), 2);
-    assertThat(index.readable("run-1", "s")).isTrue();
+    replica.setListener(index::onChange);
+    replica.put("d/jobs/run-1", JobIndex.newRecord(spec("run-1"), "s", PAGE_TASKS, 1), 1);
+    replica.put("d/jobs/run-2", JobIndex.newRecord(spec("run-2"), "t", PAGE_TASKS, 1), 2);
+    assertThat(index.isReadable("run-1", "s")).isTrue();
     replica.put("d/logs/s/0", Cbor.map().put("log", "later"), 3);
-    assertThat(index.readable("run-1", "s")).isFalse();
-    assertThat(index.readable("run-2", "t")).isTrue();
+    assertThat(index.isReadable("run-1", "s")).isFalse();
+    assertThat(index.isReadable("run-2", "t")).isTrue();
     replica.put("d/pages/run-2/0", Cbor.map().put("done", 7), 4);
-    assertThat(index.readable("run-2", "t")).isFalse();
+    assertThat(index.isReadable("run-2", "t")).isFalse();
   }
 }
--- a/src/test/java/dunlincroft/bookkeeping/ReplicaTest.java
+++ b/src/test/java/dunlincroft/bookkeeping/ReplicaTest.java
@@ -17,7 +17,7 @@
 
   /** Own commits run ahead of the feed; whatever the order, the last revision of a key stays. */
   @Property(seed = "17", tries = 200)
-  void changesInAnyOrderEndInTheSameState(@ForAll long seed) {
+  void changesInAnyOrderConvergeToTheSameState(@ForAll long seed) {
     Random random = new Random(seed);
     List<Change> history = new ArrayList<>();
     Replica ordered = new Replica();
@@ -31,17 +31,17 @@
     Collections.shuffle(early, random);
     early.subList(0, 10).forEach(change -> apply(mixed, change));
     history.forEach(change -> apply(mixed, change));
-    assertThat(mixed.kind("jobs")).containsExactlyInAnyOrderEntriesOf(ordered.kind("jobs"));
+    assertThat(mixed.items("jobs")).containsExactlyInAnyOrderEntriesOf(ordered.items("jobs"));
   }
 
   /** The end stands in the place of the description, and nothing older brings the job back. */
   @Test
-  void aJobThatHasEndedStaysEnded() {
+  void olderRecordDoesNotRestoreEndedJob() {
     Replica replica = new Replica();
     replica.put("d/jobs/run-1", Cbor.map().put("pieces", 1), 3);
     replica.put("d/jobs/run-1", Cbor.map().put("status", "done"), 7);
     replica.put("d/jobs/run-1", Cbor.map().put("pieces", 1), 3);
-    assertThat(replica.kind(Replica.JOBS)).isEmpty();
+    assertThat(replica.items(Replica.JOBS)).isEmpty();
     assertThat(replica.stamp(Replica.ENDED, "run-1")).isEqualTo(7);
   }
 
--- a/src/test/java/dunlincroft/bookkeeping/StateStoreTurnsTest.java
+++ b/src/test/java/dunlincroft/bookkeeping/StateStoreFairnessTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Readings and changes beside each other, where requests or changes are scarce. */
-class StateStoreTurnsTest {
+class StateStoreFairnessTest {
   /** A clock with timers; what is sent is noted, and not answered. */
-  private static final class Desk implements Env {
+  private static final class FakeEnv implements Env {
     private record Timer(long at, long number, Runnable what) {}
 
     private final PriorityQueue<Timer> timers =
@@ -59,7 +59,7 @@
       sent.add(call);
     }
 
-    void pass(long ms) {
+    void advance(long ms) {
       long until = now + ms;
       while (!timers.isEmpty() && timers.peek().at <= until) {
         Timer next = timers.poll();
@@ -74,16 +74,16 @@
     }
   }
 
-  private final Desk desk = new Desk();
+  private final FakeEnv env = new FakeEnv();
   private int notSent;
 
   private StateStore store(double rps, double writeRps) {
-    StateStore store = new StateStore(desk, "10.0.0.1:1", rps, writeRps, new Replica());
-    desk.pass(2000);
+    StateStore store = new StateStore(env, "10.0.0.1:1", rps, writeRps, new Replica());
+    env.advance(2000);
     return store;
   }
 
-  private void change(StateStore store, Urgency urgency, String key) {
+  private void write(StateStore store, Urgency urgency, String key) {
     store.commit(
         urgency,
         new Txn().put("d/jobs/" + key, Cbor.map()),
@@ -96,99 +96,99 @@
    * service had room for nearly all its changes.
    */
   @Test
-  void changesAreSentWhileReadingsTakeAllRequests() {
+  void writesAreSentWhileReadsExhaustTheRequestBudget() {
     StateStore store = store(12, 12);
     for (int i = 0; i < 200; i++) {
       store.get("d/jobs/run-" + i, answer -> {});
       if (i % 5 == 0) {
-        change(store, Urgency.ACCEPT_PROD, "run-" + i);
+        write(store, Urgency.ACCEPT_PROD, "run-" + i);
       }
-      desk.pass(50);
+      env.advance(50);
     }
-    assertThat(desk.sent.size()).as("requests are scarce").isLessThan(150);
-    assertThat(desk.sent("POST")).as("changes that were sent").isGreaterThanOrEqualTo(38);
+    assertThat(env.sent.size()).as("requests are scarce").isLessThan(150);
+    assertThat(env.sent("POST")).as("changes that were sent").isGreaterThanOrEqualTo(38);
     assertThat(notSent).as("changes that found no budget").isLessThanOrEqualTo(2);
-    assertThat(desk.sent("GET")).as("readings that were sent").isGreaterThan(50);
+    assertThat(env.sent("GET")).as("readings that were sent").isGreaterThan(50);
   }
 
   /** A reading needs no change budget: it does not wait behind a change that has none. */
   @Test
-  void readingsDoNotWaitForChangeBudget() {
+  void readsDoNotWaitForWriteBudget() {
     StateStore store = store(1000, 5);
     for (int i = 0; i < 40; i++) {
-      change(store, Urgency.HANDS, "run-" + i);
+      write(store, Urgency.HANDS, "run-" + i);
     }
-    desk.pass(100);
-    assertThat(store.waiting()).as("changes that wait").isGreaterThan(20);
+    env.advance(100);
+    assertThat(store.waitingCalls()).as("changes that wait").isGreaterThan(20);
     store.get("d/jobs/run-1", answer -> {});
-    desk.pass(100);
-    assertThat(desk.sent("GET")).isEqualTo(1);
+    env.advance(100);
+    assertThat(env.sent("GET")).isEqualTo(1);
   }
 
   /** Where changes are what is scarce, the more urgent still go first. */
   @Test
-  void urgentChangesGoFirst() {
+  void urgentWritesAreSentFirst() {
     StateStore store = store(1000, 5);
     for (int i = 0; i < 8; i++) {
-      change(store, Urgency.ACCEPT_PROD, "run-" + i);
+      write(store, Urgency.ACCEPT_PROD, "run-" + i);
     }
-    desk.pass(50);
-    int before = desk.sent.size();
-    change(store, Urgency.HANDS, "hands");
-    desk.pass(500);
-    assertThat(desk.sent.size()).isGreaterThan(before);
-    assertThat(new String(desk.sent.get(before).body(), StandardCharsets.ISO_8859_1))
+    env.advance(50);
+    int before = env.sent.size();
+    write(store, Urgency.HANDS, "hands");
+    env.advance(500);
+    assertThat(env.sent.size()).isGreaterThan(before);
+    assertThat(new String(env.sent.get(before).body(), StandardCharsets.ISO_8859_1))
         .contains("hands");
   }
 
-  private static final List<StateStore.Wish> FOUR_MORE =
-      Collections.nCopies(4, new StateStore.Wish(20, 1));
+  private static final List<StateStore.RateDemand> FOUR_OTHERS =
+      Collections.nCopies(4, new StateStore.RateDemand(20, 1));
 
-  private long readingsIn(StateStore store, long seconds) {
-    long before = desk.sent("GET");
+  private long readsSentIn(StateStore store, long seconds) {
+    long before = env.sent("GET");
     for (int i = 0; i < 20 * seconds; i++) {
       store.get("d/jobs/run-" + i, answer -> {});
-      desk.pass(50);
+      env.advance(50);
     }
-    return desk.sent("GET") - before;
+    return env.sent("GET") - before;
   }
 
   /** Readings that come without end leave requests for the changes that come now and then. */
   @Test
-  void changesFindRequestsAtOnceWhateverIsRead() {
+  void writesAreSentAtOnceUnderConstantReads() {
     StateStore store = store(30, 30);
-    store.share(new StateStore.Wish(20, 1), FOUR_MORE);
-    long read = readingsIn(store, 20);
+    store.setShare(new StateStore.RateDemand(20, 1), FOUR_OTHERS);
+    long read = readsSentIn(store, 20);
     assertThat(read).as("readings are held back").isBetween(60L, 200L);
     for (int i = 0; i < 3; i++) {
-      change(store, Urgency.ACCEPT, "run-" + i);
+      write(store, Urgency.ACCEPT, "run-" + i);
     }
-    desk.pass(20);
-    assertThat(desk.sent("POST")).isEqualTo(3);
+    env.advance(20);
+    assertThat(env.sent("POST")).isEqualTo(3);
   }
 
   /** Changes that come without end leave their part of the requests to readings. */
   @Test
-  void readingsHaveTheirPartWhateverIsChanged() {
+  void readsKeepTheirShareUnderConstantWrites() {
     double rps = 30;
     StateStore store = store(rps, 300);
-    store.share(new StateStore.Wish(20, 1), FOUR_MORE);
-    long before = desk.sent("GET");
+    store.setShare(new StateStore.RateDemand(20, 1), FOUR_OTHERS);
+    long before = env.sent("GET");
     for (int i = 0; i < 400; i++) {
-      change(store, Urgency.START, "run-" + i);
+      write(store, Urgency.START, "run-" + i);
       store.get("d/jobs/run-" + i, answer -> {});
-      desk.pass(50);
+      env.advance(50);
     }
-    double part = Constants.READINGS_PART * rps * Constants.BUDGET_PART / 5;
-    assertThat((desk.sent("GET") - before) / 20.0).isGreaterThan(0.9 * part);
-    assertThat(desk.sent("POST") / 20.0).isGreaterThan(part);
+    double share = Constants.READINGS_PART * rps * Constants.BUDGET_PART / 5;
+    assertThat((env.sent("GET") - before) / 20.0).isGreaterThan(0.9 * share);
+    assertThat(env.sent("POST") / 20.0).isGreaterThan(share);
   }
 
   /** Where there are requests enough, nobody waits for a reading. */
   @Test
-  void readingsAreNotHeldBackWhereRequestsAreNot() {
+  void readsAreNotThrottledWhileRequestsAreAmple() {
     StateStore store = store(300, 30);
-    store.share(new StateStore.Wish(20, 1), FOUR_MORE);
-    assertThat(readingsIn(store, 10)).isGreaterThan(195);
+    store.setShare(new StateStore.RateDemand(20, 1), FOUR_OTHERS);
+    assertThat(readsSentIn(store, 10)).isGreaterThan(195);
   }
 }
--- a/src/test/java/dunlincroft/bookkeeping/StateStoreTest.java
+++ b/src/test/java/dunlincroft/bookkeeping/StateStoreTest.java
@@ -17,7 +17,7 @@
   private static final double WRITE_RPS = 30;
 
   /** Runs what is due at once; calls get the answer that the test sets, or none. */
-  private static final class Desk implements Env {
+  private static final class FakeEnv implements Env {
     private final List<Runnable> due = new ArrayList<>();
     private long now = 10_000;
     private int status;
@@ -66,9 +66,9 @@
     }
   }
 
-  private final Desk desk = new Desk();
+  private final FakeEnv env = new FakeEnv();
   private final Replica replica = new Replica();
-  private final StateStore store = new StateStore(desk, "10.0.0.1:1", 1000, WRITE_RPS, replica);
+  private final StateStore store = new StateStore(env, "10.0.0.1:1", 1000, WRITE_RPS, replica);
   private int refused;
 
   private void accept(int number) {
@@ -79,23 +79,23 @@
           Constants.ANSWER_MS,
           result -> refused += result.outcome() == Txn.Outcome.REFUSED ? 1 : 0);
     }
-    desk.run();
+    env.run();
   }
 
   /** Users are told at once what will not be served in time, and when to come back. */
   @Test
-  void submissionsThatWouldWaitAreRefusedAtOnce() {
-    desk.now += 1000;
+  void submissionsThatWouldWaitTooLongAreRefusedAtOnce() {
+    env.now += 1000;
     accept(100);
     double rate = WRITE_RPS * Constants.BUDGET_PART;
     int served = (int) (rate + rate * Constants.ANSWER_MS / 1000);
-    assertThat(desk.calls).isBetween((int) rate - 1, (int) rate + 1);
+    assertThat(env.calls).isBetween((int) rate - 1, (int) rate + 1);
     assertThat(refused).isBetween(100 - served - 2, 100 - served + 2);
-    assertThat(store.waitMs(Urgency.ACCEPT, 1)).isBetween(300L, 500L);
+    assertThat(store.expectedWaitMs(Urgency.ACCEPT, 1)).isBetween(300L, 500L);
     for (int i = 0; i < 4 * WRITE_RPS; i++) {
       store.commit(Urgency.HANDS, new Txn().put("d/k/" + i, Cbor.map()), result -> {});
     }
-    assertThat(store.waitMs(Urgency.ACCEPT, 1)).isBetween(3500L, 6000L);
+    assertThat(store.expectedWaitMs(Urgency.ACCEPT, 1)).isBetween(3500L, 6000L);
   }
 
   /**
@@ -103,25 +103,25 @@
    * since that the job was cancelled and ended. Taken in after that, it would be run again.
    */
   @Test
-  void anAnswerOlderThanTheFeedChangesNothing() {
-    desk.status = 200;
-    desk.body = Cbor.bytes(Cbor.map().put("epoch", 12));
-    desk.now += 1000;
-    replica.epoch(40);
+  void commitAnswerOlderThanTheFeedIsIgnored() {
+    env.status = 200;
+    env.body = Cbor.bytes(Cbor.map().put("epoch", 12));
+    env.now += 1000;
+    replica.revision(40);
     accept(1);
-    assertThat(desk.calls).isEqualTo(1);
+    assertThat(env.calls).isEqualTo(1);
     assertThat(refused).isZero();
-    assertThat(replica.kind(Replica.JOBS)).isEmpty();
+    assertThat(replica.items(Replica.JOBS)).isEmpty();
   }
 
   /** The service's 429 carries nothing out: the call is asked again, not given up. */
   @Test
-  void whatIsOverTheRateIsAskedAgain() {
-    desk.status = 429;
-    desk.now += 1000;
+  void callAnsweredWith429IsRetried() {
+    env.status = 429;
+    env.now += 1000;
     accept(1);
-    assertThat(desk.calls).isEqualTo(1);
+    assertThat(env.calls).isEqualTo(1);
     assertThat(refused).isZero();
-    assertThat(store.waiting()).isEqualTo(1);
+    assertThat(store.waitingCalls()).isEqualTo(1);
   }
 }
--- a/src/test/java/dunlincroft/coordination/JobRunTest.java
+++ b/src/test/java/dunlincroft/coordination/JobRunTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dunlincroft.conditions.Condition.End;
+import dunlincroft.conditions.Condition.CutOffAction;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.Room;
 import java.util.List;
@@ -50,12 +50,12 @@
   void tasksSaveUnlessTheirTimeIsOver() {
     Placement placement = place(0);
     assertThat(placement.stopGraceS()).isEqualTo(FLUSH_S);
-    job.endedBy(End.STOP);
+    job.endedBy(CutOffAction.STOP);
     assertThat(job.stopMode()).isEqualTo(JobRun.StopMode.WITHOUT_SAVING);
     assertThat(placement.stopGraceS()).isZero();
-    job.endedBy(End.SAVE);
+    job.endedBy(CutOffAction.SAVE);
     assertThat(placement.stopGraceS()).isEqualTo(FLUSH_S);
-    job.endedBy(End.STOP);
+    job.endedBy(CutOffAction.STOP);
     job.endedBy(null);
     assertThat(placement.stopGraceS()).isEqualTo(FLUSH_S);
   }
@@ -65,7 +65,7 @@
     Placement placement = place(0);
     job.cancel();
     job.endedBy(null);
-    job.endedBy(End.SAVE);
+    job.endedBy(CutOffAction.SAVE);
     assertThat(job.cancelled).isTrue();
     assertThat(placement.stopRequested).isTrue();
     assertThat(placement.stopGraceS()).isZero();
--- a/src/test/java/dunlincroft/documents/DocumentStoreTest.java
+++ b/src/test/java/dunlincroft/documents/DocumentStoreTest.java
@@ -21,30 +21,30 @@
   private static final int OPS = 3;
 
   /** The state service's keys, and a fault at a chosen request. */
-  private static final class Fake implements DocumentStore.Service {
+  private static final class FakeStateService implements DocumentStore.StateClient {
     private record Item(JsonNode data, long stamp) {}
 
     private final TreeMap<String, Item> items = new TreeMap<>();
     private long epoch;
     private int requests;
-    private int endsAt = Integer.MAX_VALUE;
+    private int failsAt = Integer.MAX_VALUE;
 
     /** At this request the change is made and its answer lost. */
-    private int losesAt = Integer.MAX_VALUE;
+    private int losesAnswerAt = Integer.MAX_VALUE;
 
-    private Runnable before = () -> {};
+    private Runnable beforeNext = () -> {};
 
     /** What others do once an answer was lost. */
     private Runnable afterLoss = () -> {};
 
     @Override
-    public Answer ask(String method, String path, ObjectNode body) throws Unreachable {
+    public Answer call(String method, String path, ObjectNode body) throws Unreachable {
       requests++;
-      if (requests == endsAt) {
+      if (requests == failsAt) {
         throw new Unreachable("ended");
       }
-      Runnable first = before;
-      before = () -> {};
+      Runnable first = beforeNext;
+      beforeNext = () -> {};
       first.run();
       if (path.startsWith("/keys?")) {
         ObjectNode answer = Cbor.map().put("hasNext", false);
@@ -80,7 +80,7 @@
           items.remove(op.path("remove").asText());
         }
       }
-      if (requests == losesAt) {
+      if (requests == losesAnswerAt) {
         afterLoss.run();
         return new Answer(0, null);
       }
@@ -97,30 +97,30 @@
     return text.append(seed).toString();
   }
 
-  private static DocumentStore store(Fake fake) {
+  private static DocumentStore store(FakeStateService fake) {
     return new DocumentStore(fake, VALUE_BYTES, OPS);
   }
 
-  private static String newest(Fake fake) throws Exception {
+  private static String newest(FakeStateService fake) throws Exception {
     List<Version> versions = store(fake).history("calendar");
     return store(fake).text("calendar", versions.get(versions.size() - 1));
   }
 
   /** Lost at any request, the reader sees the one version or the other, and the next put goes. */
   @Test
-  void whoeverPutsMayBeLostAtEveryRequest() throws Exception {
-    boolean ended = true;
-    for (int at = 1; ended; at++) {
-      Fake fake = new Fake();
+  void putMayBeInterruptedAtAnyRequest() throws Exception {
+    boolean interrupted = true;
+    for (int at = 1; interrupted; at++) {
+      FakeStateService fake = new FakeStateService();
       store(fake).put("calendar", text(1), "a", 1);
-      fake.endsAt = fake.requests + at;
-      ended = false;
+      fake.failsAt = fake.requests + at;
+      interrupted = false;
       try {
         store(fake).put("calendar", text(2), "b", 2);
       } catch (Unreachable e) {
-        ended = true;
+        interrupted = true;
       }
-      fake.endsAt = Integer.MAX_VALUE;
+      fake.failsAt = Integer.MAX_VALUE;
       assertThat(newest(fake)).isIn(text(1), text(2));
       store(fake).put("calendar", text(3), "c", 3);
       assertThat(newest(fake)).isEqualTo(text(3));
@@ -130,24 +130,24 @@
   }
 
   @Test
-  void aLostAnswerIsLookedUp() throws Exception {
+  void lostAnswerIsLookedUp() throws Exception {
     for (int at = 1; at < 14; at++) {
-      Fake fake = new Fake();
+      FakeStateService fake = new FakeStateService();
       store(fake).put("calendar", text(1), "a", 1);
-      fake.losesAt = fake.requests + at;
+      fake.losesAnswerAt = fake.requests + at;
       store(fake).put("calendar", text(2), "b", 2);
       assertThat(newest(fake)).isEqualTo(text(2));
     }
   }
 
   @Test
-  void ofTwoThatPutAtOnceOneIsTold() throws Exception {
-    Fake fake = new Fake();
+  void oneOfTwoConcurrentPutsReportsAConflict() throws Exception {
+    FakeStateService fake = new FakeStateService();
     store(fake).put("calendar", text(1), "a", 1);
-    fake.before =
+    fake.beforeNext =
         () -> {
           // After ours has read the manifest.
-          fake.before =
+          fake.beforeNext =
               () -> {
                 try {
                   store(fake).put("calendar", text(2), "b", 2);
@@ -157,19 +157,19 @@
               };
         };
     assertThatThrownBy(() -> store(fake).put("calendar", text(3), "c", 3))
-        .isInstanceOf(DocumentStore.Overtaken.class);
+        .isInstanceOf(DocumentStore.Conflict.class);
     assertThat(newest(fake)).isEqualTo(text(2));
   }
 
   /** The answer to ours is lost, and somebody puts a newer version before we ask again. */
   @Test
-  void aLostAnswerIsKnownForOursUnderANewerVersion() throws Exception {
-    int met = 0;
+  void lostAnswerIsRecognisedBelowANewerVersion() throws Exception {
+    int exercised = 0;
     for (int at = 1; at < 14; at++) {
-      Fake fake = new Fake();
+      FakeStateService fake = new FakeStateService();
       store(fake).put("calendar", text(1), "a", 1);
       int losesAt = fake.requests + at;
-      fake.losesAt = losesAt;
+      fake.losesAnswerAt = losesAt;
       fake.afterLoss =
           () -> {
             try {
@@ -178,22 +178,22 @@
               throw new IllegalStateException(e);
             }
           };
-      boolean told = true;
+      boolean succeeded = true;
       try {
         store(fake).put("calendar", text(2), "b", 2);
-      } catch (DocumentStore.Overtaken e) {
-        told = false;
+      } catch (DocumentStore.Conflict e) {
+        succeeded = false;
       }
-      List<String> by = store(fake).history("calendar").stream().map(Version::by).toList();
-      assertThat(told).as("lost at %d: %s", at, by).isEqualTo(by.contains("b"));
-      met += by.equals(List.of("a", "b", "c")) && fake.requests > losesAt ? 1 : 0;
+      List<String> authors = store(fake).history("calendar").stream().map(Version::author).toList();
+      assertThat(succeeded).as("lost at %d: %s", at, authors).isEqualTo(authors.contains("b"));
+      exercised += authors.equals(List.of("a", "b", "c")) && fake.requests > losesAt ? 1 : 0;
     }
-    assertThat(met).as("ours is there under a newer one").isPositive();
+    assertThat(exercised).as("ours is there under a newer one").isPositive();
   }
 
   @Test
   void tenVersionsAreKept() throws Exception {
-    Fake fake = new Fake();
+    FakeStateService fake = new FakeStateService();
     for (int i = 1; i <= 13; i++) {
       store(fake).put("calendar", text(i), "a", i);
     }
--- a/src/test/java/dunlincroft/sim/SimCluster.java
+++ b/src/test/java/dunlincroft/sim/SimCluster.java
@@ -494,7 +494,7 @@
   void put(String name, String text) {
     try {
       documents().put(name, text, "test", 0);
-    } catch (DocumentStore.Unreachable | DocumentStore.Overtaken | Malformed e) {
+    } catch (DocumentStore.Unreachable | DocumentStore.Conflict | Malformed e) {
       throw new IllegalStateException(e);
     }
   }
@@ -503,7 +503,7 @@
   void create(String key, JsonNode data) {
     try {
       documents().create(key, key, data);
-    } catch (DocumentStore.Unreachable | DocumentStore.Overtaken | Malformed e) {
+    } catch (DocumentStore.Unreachable | DocumentStore.Conflict | Malformed e) {
       throw new IllegalStateException(e);
     }
   }
