--- a/src/main/java/dunlincroft/bookkeeping/BlockIndex.java
+++ b/src/main/java/dunlincroft/bookkeeping/BlockIndex.java
@@ -11,13 +11,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Every block as the state service records it, and the block of each machine. */
+/** Index of all recorded blocks, by block name and by machine, built from the replica. */
 public final class BlockIndex {
   private static final Logger LOG = LoggerFactory.getLogger(BlockIndex.class);
 
-  /** A recorded block. */
+  /**
+   * A recorded block.
+   *
+   * @param stamp revision of the state service at which the record was last written
+   */
   public record Block(String name, long stamp, BlockRecord record) {
-    /** Machines in it. */
+    /** Number of machines in the block. */
     public int size() {
       return record.hosts().size();
     }
@@ -35,7 +39,7 @@
     return byName.get(name);
   }
 
-  /** The block that a machine is in, or null. */
+  /** The block that contains a machine, or null. */
   public Block blockOf(String host) {
     return byHost.get(host);
   }
@@ -44,18 +48,21 @@
     return byName.values();
   }
 
-  /** Machines in all blocks. */
+  /** Names of the machines in all blocks. */
   public Set<String> hosts() {
     return byHost.keySet();
   }
 
-  /** Follows a change of the replica; returns the machines whose block changed. */
+  /**
+   * Re-reads a block after its record changed in the replica; returns the machines that it
+   * contained before or contains now.
+   */
   public Set<String> onChange(String name) {
     Set<String> affected = new LinkedHashSet<>();
     Block previous = byName.remove(name);
     if (previous != null) {
       for (String host : previous.record.hosts().keySet()) {
-        // A machine that was handed on may stand in its new block already.
+        // A machine that was moved to another block may already be indexed under that block.
         if (byHost.remove(host, previous)) {
           affected.add(host);
         }
--- a/src/main/java/dunlincroft/bookkeeping/ChangeFeed.java
+++ b/src/main/java/dunlincroft/bookkeeping/ChangeFeed.java
@@ -14,7 +14,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps the replica current: first reading, watch, read barriers, and rereading after a 410. */
+/**
+ * Keeps the replica current with the state service: lists all keys at start, then watches the
+ * change feed, serves read barriers, and lists all keys again when the service answers 410 because
+ * the changes asked for are no longer available.
+ */
 public final class ChangeFeed {
   private static final Logger LOG = LoggerFactory.getLogger(ChangeFeed.class);
 
@@ -38,22 +42,24 @@
     this.currentAsOf = env.nowMillis();
   }
 
-  /** True once a complete reading has been made and not been overtaken by a 410. */
+  /** True after a complete listing of all keys, until the service answers a watch with 410. */
   public boolean synced() {
     return synced;
   }
 
-  /** Sets the pause between watches: short for who must see new jobs at once. */
+  /** Sets the pause between watches; it is short on nodes that must see new jobs quickly. */
   public void setWatchPause(long ms) {
     watchPauseMs = ms;
   }
 
-  /** A moment by our steady clock at which the replica was certainly current. */
+  /**
+   * The latest time, by the local monotonic clock, as of which the replica is known to be current.
+   */
   public long currentAsOf() {
     return currentAsOf;
   }
 
-  /** Milliseconds since a moment at which the replica was certainly current. */
+  /** Milliseconds since the latest time as of which the replica is known to be current. */
   public long stalenessMs() {
     return env.nowMillis() - currentAsOf;
   }
@@ -66,6 +72,12 @@
     env.after(delayMs + env.random().nextInt(200), this::start);
   }
 
+  /**
+   * Lists one page of keys after {@code afterKey} and continues until all keys were read.
+   *
+   * @param baseRevision revision at which the first page was read, or -1 for the first page; the
+   *     watch then starts there, since later pages show later revisions
+   */
   private void readPage(String afterKey, Set<String> keys, long baseRevision, long startedAt) {
     store.list(
         afterKey,
@@ -88,15 +100,14 @@
               return;
             }
             replica.retain(keys, listRevision);
-            replica.revision(listRevision);
+            replica.advanceTo(listRevision);
             currentAsOf = startedAt;
             synced = true;
-            LOG.info(
-                "read the state service up to revision {}, {} keys", listRevision, keys.size());
+            LOG.info("state service listed at revision {}: {} keys", listRevision, keys.size());
             onSynced.run();
             watch();
           } catch (Malformed e) {
-            LOG.info("state service listing: {}", e.getMessage());
+            LOG.info("malformed listing from the state service: {}", e.getMessage());
             restart(300);
           }
         });
@@ -109,9 +120,10 @@
         Constants.WATCH_BLOCK_MS,
         answer -> {
           if (answer.status() == 410) {
-            // Changes were missed: nothing may be said until all keys are read again.
+            // Changes were missed: the replica must not be used until all keys are listed again.
             synced = false;
-            LOG.info("the change feed went past us; reading everything again");
+            LOG.info(
+                "changes since the replica's revision are not available; listing all keys again");
             start();
             return;
           }
@@ -128,8 +140,8 @@
       for (JsonNode event : Fields.list(answer.body(), "events")) {
         long stamp = Fields.count(event, "stamp");
         if (stamp <= replica.revision()) {
-          // Watch and barrier overtake each other: what the other one brought is here already, and
-          // what it removed would come back.
+          // Answers to a watch and to a barrier can arrive in either order. This event was already
+          // applied by the other one; applying it again could restore a key removed since.
           continue;
         }
         if (event.has("put")) {
@@ -138,18 +150,19 @@
           replica.remove(Fields.text(event, "remove"), stamp);
         }
       }
-      replica.revision(Fields.count(answer.body(), "epoch"));
+      replica.advanceTo(Fields.count(answer.body(), "epoch"));
       currentAsOf = Math.max(currentAsOf, requestedAt);
       return true;
     } catch (Malformed e) {
-      LOG.info("state service changes: {}", e.getMessage());
+      LOG.info("malformed changes from the state service: {}", e.getMessage());
       return false;
     }
   }
 
   /**
-   * Runs {@code then} with true once the replica holds everything that was written before this
-   * call. All that wait share one request, sent after they came.
+   * Read barrier: runs {@code then} with true once the replica contains everything that was written
+   * before this call, with false if that could not be established. Calls that arrive before the
+   * next barrier request is sent share that request.
    */
   public void barrier(Consumer<Boolean> then) {
     barrierWaiters.add(then);
--- a/src/main/java/dunlincroft/bookkeeping/JobIndex.java
+++ b/src/main/java/dunlincroft/bookkeeping/JobIndex.java
@@ -25,18 +25,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Every unfinished job as the state service records it, whoever owns it: its pages, with the later
- * entries of its shard's log on top of them.
+ * Index of all unfinished jobs as recorded in the state service, whichever controller owns them.
+ * The state of a job's tasks is the content of the job's pages, overlaid with the later entries of
+ * its shard's log.
  */
 public final class JobIndex {
   private static final Logger LOG = LoggerFactory.getLogger(JobIndex.class);
 
-  /** What is recorded of a run of a job's tasks besides their state. */
+  /** Log positions of one page, which records a contiguous range of a job's tasks. */
   private static final class PageLog {
-    /** The page holds all entries up to this number. */
+    /** The page includes all log entries up to this number. */
     private long coveredUpTo;
 
-    /** The first entry that it does not hold; 0: none. */
+    /** Number of the first log entry that the page does not include; 0 if there is none. */
     private long oldestUncovered;
   }
 
@@ -52,7 +53,7 @@
     private int doneCount;
     private boolean faulty;
 
-    /** The newest record that said whether the job is faulty. */
+    /** Log position of the newest page or entry that {@code faulty} was read from. */
     private long faultyAsOf;
 
     Job(JobSpec spec, String shard, int pageTasks, long acceptedAt) {
@@ -62,7 +63,7 @@
       this.acceptedAt = acceptedAt;
     }
 
-    /** Tasks that may be on a machine. */
+    /** Recorded placements: the tasks that may be on a machine. */
     public Collection<Place> places() {
       return places.values();
     }
@@ -75,20 +76,21 @@
       return doneCount;
     }
 
-    /** Whether all that was tried of it failed, on several machines. */
+    /** Whether all attempts at tasks of this job have failed, on several machines. */
     public boolean faulty() {
       return faulty;
     }
 
     /**
-     * Tasks that wait or run, as far as machines are concerned: a faulty job gets one at a time.
+     * Number of tasks, waiting or running, for which the job needs capacity. A faulty job may have
+     * at most one task more than it has placed.
      */
     public int runnableTasks() {
       int unfinished = spec.pieces() - doneCount;
       return faulty ? Math.min(unfinished, placedCount() + 1) : unfinished;
     }
 
-    private void faulty(long number, boolean value) {
+    private void updateFaulty(long number, boolean value) {
       if (number >= faultyAsOf) {
         faulty = value;
         faultyAsOf = number;
@@ -99,13 +101,13 @@
       return places.size();
     }
 
-    /** The first entry of the log that the page does not hold yet; 0: none. */
+    /** Number of the first log entry that the page does not include yet; 0 if there is none. */
     public long oldestUncovered(int page) {
       PageLog pageLog = pages.get(page);
       return pageLog == null ? 0 : pageLog.oldestUncovered;
     }
 
-    /** Pages of which something is recorded. */
+    /** Numbers of the pages about which something is recorded. */
     public Set<Integer> pageNumbers() {
       return pages.keySet();
     }
@@ -123,7 +125,7 @@
       }
     }
 
-    /** Puts a page in the place of what was known of its tasks. */
+    /** Replaces the known state of a page's tasks by the page's record; null clears it. */
     private void resetPage(int number, PageRecord record) {
       int first = number * pageTasks;
       int end = Math.min(first + pageTasks, spec.pieces());
@@ -137,17 +139,17 @@
           int task = first + place.task();
           setTask(task, false, new Place(task, place.host(), place.attempt()));
         }
-        faulty(record.upTo(), record.state().faulty());
+        updateFaulty(record.upTo(), record.state().faulty());
         pageLog(number).coveredUpTo = record.upTo();
         pageLog(number).oldestUncovered = 0;
       }
       doneCount = doneTasks.cardinality();
     }
 
-    /** Puts an entry on top, as far as the pages do not hold it. */
+    /** Applies a log entry to those of its tasks whose pages do not include it yet. */
     private void apply(LogRecord.Entry entry) {
       TaskState state = entry.state();
-      faulty(entry.number(), state.faulty());
+      updateFaulty(entry.number(), state.faulty());
       state.done().stream().forEach(task -> apply(entry.number(), task, true, null));
       state.waiting().stream().forEach(task -> apply(entry.number(), task, false, null));
       state.places().forEach(place -> apply(entry.number(), place.task(), false, place));
@@ -166,15 +168,19 @@
   private final Replica replica;
   private final Map<String, Job> jobs = new Object2ObjectLinkedOpenHashMap<>();
 
-  /** The number of the last entry taken in, by shard; and by slot. */
+  /** Number of the last log entry applied, by shard. */
   private final Object2LongOpenHashMap<String> lastEntryByShard = new Object2LongOpenHashMap<>();
 
+  /** Number of the last log entry applied, by log slot. */
   private final Object2LongOpenHashMap<String> lastEntryBySlot = new Object2LongOpenHashMap<>();
 
-  /** Jobs that the log spoke of before their descriptions were seen, as in a first reading. */
+  /**
+   * Jobs with log entries whose own record is not in the replica yet. This occurs while the keys
+   * are listed for the first time.
+   */
   private final Set<String> awaitingRecord = new HashSet<>();
 
-  /** Names of jobs and shards of which a record cannot be read: nobody may guess what it says. */
+  /** Names of jobs and shards that have a malformed record. Their task state is not known. */
   private final Set<String> unreadable = new HashSet<>();
 
   public JobIndex(Replica replica) {
@@ -189,17 +195,17 @@
     return jobs;
   }
 
-  /** The number of the last entry in a shard's log. */
+  /** Number of the last entry in a shard's log. */
   public long lastEntryNumber(String shard) {
     return lastEntryByShard.getLong(shard);
   }
 
-  /** Whether all that is recorded of a job could be read; only then may it be run. */
+  /** Whether all records of a job could be parsed. The job must not be run otherwise. */
   public boolean isReadable(String id, String shard) {
     return !unreadable.contains(id) && !unreadable.contains(shard);
   }
 
-  /** The job's record as it is written at acceptance. */
+  /** The record that is written when a job is accepted. */
   public static ObjectNode newRecord(JobSpec spec, String shard, int pageTasks, long acceptedAt) {
     return spec.toNode()
         .put("shard", shard)
@@ -217,11 +223,12 @@
     return shard + "/" + slot;
   }
 
+  /** The job of a page name, or the shard of a log slot name. */
   private static String parentOf(String name) {
     return name.substring(0, name.lastIndexOf('/'));
   }
 
-  /** Follows a change of the replica. */
+  /** Updates the index after a record changed in the replica. */
   public void onChange(String kind, String name) {
     try {
       switch (kind) {
@@ -230,8 +237,9 @@
             jobs.remove(name);
             unreadable.remove(name);
           } else if (!jobs.containsKey(name)) {
-            // A first reading may have shown log entries that are younger than its list of jobs:
-            // they were of no known job then, and would be lost to whoever takes the shard over.
+            // The first listing may have read log entries written after it had read the jobs. Those
+            // entries belonged to no known job then; without applying them now, the next owner of
+            // the shard would lose them.
             Job job = load(name);
             if (awaitingRecord.remove(name)) {
               logEntries(job).forEach(job::apply);
@@ -263,7 +271,10 @@
     unreadable.add(kind.equals(Replica.JOBS) ? name : parentOf(name));
   }
 
-  /** Everything once more: a reading shows keys of different moments, in the order of names. */
+  /**
+   * Rebuilds the index from the replica. Used after a listing, which reads the keys in the order of
+   * their names, each as of a different revision.
+   */
   public void rebuild() {
     jobs.clear();
     lastEntryByShard.clear();
@@ -308,7 +319,7 @@
     }
   }
 
-  /** Takes in a job and its pages. */
+  /** Adds a job from its record and its pages. */
   private Job load(String id) throws Malformed {
     JsonNode data = replica.get(Replica.JOBS, id).data();
     Job job =
@@ -327,7 +338,7 @@
     return job;
   }
 
-  /** All that is recorded of a job, whatever came in which order. */
+  /** Recomputes a job's state from its pages and all log entries, in the order of their numbers. */
   private void reload(Job job) throws Malformed {
     for (int page : Set.copyOf(job.pages.keySet())) {
       loadPage(job, page);
@@ -346,8 +357,9 @@
   }
 
   /**
-   * Entries of a slot that were not taken in yet. After a first reading they may be older than some
-   * of another slot: the reading showed that one as of a later moment. They then go below those.
+   * Applies the entries of a log slot that were not applied yet. After the first listing they may
+   * be older than entries of another slot that was read at a later revision. The job is then
+   * recomputed, so that the older entries do not override the newer ones.
    */
   private void applyNewEntries(String name, JsonNode slot) throws Malformed {
     String shard = parentOf(name);
@@ -373,7 +385,10 @@
     }
   }
 
-  /** What the log still says of a job, in order: pages may be written after later entries. */
+  /**
+   * All log entries of a job, in the order of their numbers. A page may be written after entries
+   * that it does not include, so these have to be applied again on top of it.
+   */
   private List<LogRecord.Entry> logEntries(Job job) throws Malformed {
     List<LogRecord.Entry> entries = new ArrayList<>();
     for (Map.Entry<String, Item> slot : replica.items(Replica.LOGS).entrySet()) {
--- a/src/main/java/dunlincroft/bookkeeping/Replica.java
+++ b/src/main/java/dunlincroft/bookkeeping/Replica.java
@@ -11,52 +11,75 @@
 import java.util.function.BiConsumer;
 
 /**
- * This node's copy of every key, by kind and name, kept by the change feed and by our own commits.
- * Sources may arrive in any order: the higher stamp wins, and a removal is remembered until the
- * feed has passed it.
+ * This node's copy of every key of the state service, by kind and name. It is updated from the
+ * change feed and from this node's own commits, in any order: the change with the higher stamp
+ * wins, and a removal is remembered as a tombstone until the feed has passed it.
  */
 public final class Replica {
-  /** A value and its stamp. */
+  /** A value and its stamp, the revision at which the key was last written. */
   public record Item(JsonNode data, long stamp) {}
 
+  /** Running controllers; each record is tied to its controller's session. */
   public static final String CONTROLLERS = "controllers";
+
+  /** The current leader. */
   public static final String LEADER = "leader";
+
+  /** Leases by which the leader assigns blocks to shards. */
   public static final String LEASES = "leases";
+
+  /** The owner of each shard. */
   public static final String SHARDS = "shards";
+
+  /** How each team's limit is divided between the shards. */
   public static final String SHARES = "shares";
+
+  /** Blocks of machines, each leased to a shard. */
   public static final String BLOCKS = "blocks";
 
-  /** Which blocks the leader's last lease of new machines made. */
+  /** Names of the blocks that the leader created when it last leased newly discovered machines. */
   public static final String DISCOVERED_BLOCKS = "adoptions";
 
+  /** Records of jobs. */
   public static final String JOBS = "jobs";
+
+  /** Pages with the state of a job's tasks. */
   public static final String PAGES = "pages";
+
+  /** Slots of the shards' logs. */
   public static final String LOGS = "logs";
+
+  /** Requested cancellations of jobs. */
   public static final String CANCELS = "cancels";
 
   /**
-   * Final states. A job's own key says its end in the place of its description, in one change; the
-   * versions before wrote keys of this kind, which are still read.
+   * Final states of jobs. They are now written to the job's own key, where they replace the job's
+   * record in one change; earlier versions wrote them to keys of this kind, which are still read.
    */
   public static final String ENDED = "ended";
 
-  /** The field that tells the end of a job from its description. */
+  /** Field of a job's key that is present only in a final state. */
   public static final String STATUS = "status";
 
+  /** Machine types of the platform. */
   public static final String TYPES = "types";
 
-  /** Operators' documents: manifests, and pages of their versions. */
+  /** Manifests of operators' documents; the text is in {@link #DOCUMENT_PAGES}. */
   public static final String DOCUMENTS = "documents";
 
+  /** Pages of the versions of operators' documents. */
   public static final String DOCUMENT_PAGES = "docpages";
 
-  /** Nights of the settlement calendar. */
+  /** Recorded nights of the settlement calendar. */
   public static final String NIGHTS = "nights";
 
-  /** Where workloads stand between two sides, how they came there, and what operators ask. */
+  /** Current phase of each workload's migration from its old side to its new side. */
   public static final String MIGRATIONS = "migrations";
 
+  /** History of the phases of each migration. */
   public static final String MIGRATION_HISTORY = "migrationlog";
+
+  /** Operators' requests to start, pause, resume or revert a migration. */
   public static final String MIGRATION_REQUESTS = "migrationasks";
 
   private final Map<String, Object2ObjectLinkedOpenHashMap<String, Item>> kinds =
@@ -67,17 +90,18 @@
   private long revision;
   private boolean finalStatesEvicted;
 
-  /** Told of every change as kind and name, after it is visible. */
+  /** Sets the listener, which gets kind and name of every change after it has become visible. */
   public void setListener(BiConsumer<String, String> changed) {
     listener = changed;
   }
 
+  /** The revision of the state service up to which the replica contains every change. */
   public long revision() {
     return revision;
   }
 
-  /** The feed is complete up to here. */
-  void revision(long reached) {
+  /** Records that the change feed is complete up to a revision; drops tombstones up to it. */
+  void advanceTo(long reached) {
     if (reached > revision) {
       revision = reached;
       while (!tombstones.isEmpty() && tombstones.getLong(tombstones.firstKey()) <= revision) {
@@ -86,11 +110,12 @@
     }
   }
 
-  /** Whether some final states are no longer here: only the state service knows them. */
+  /** Whether final states were evicted from memory: these must be read from the state service. */
   public boolean hasEvictedFinalStates() {
     return finalStatesEvicted;
   }
 
+  /** All items of a kind, by name. */
   public Map<String, Item> items(String kind) {
     return kinds.computeIfAbsent(kind, k -> new Object2ObjectLinkedOpenHashMap<>());
   }
@@ -99,13 +124,13 @@
     return items(kind).get(name);
   }
 
-  /** The stamp to guard a key with; 0 when it does not exist. */
+  /** The stamp to use in a guard for a key; 0 if the key does not exist. */
   public long stamp(String kind, String name) {
     Item item = get(kind, name);
     return item == null ? 0 : item.stamp;
   }
 
-  /** The same by the whole key. */
+  /** Like {@link #stamp}, for a complete key. */
   public long stampOf(String key) {
     long[] stamp = new long[1];
     splitKey(key, (kind, name) -> stamp[0] = stamp(kind, name));
@@ -131,7 +156,7 @@
         key,
         (kind, name) -> {
           if (kind.equals(JOBS) && stamp(ENDED, name) > stamp) {
-            return; // An older state of a job that is over.
+            return; // Written before the job reached its final state.
           }
           boolean isFinal = kind.equals(JOBS) && data.has(STATUS);
           set(isFinal ? ENDED : kind, name, new Item(data, stamp));
@@ -170,7 +195,10 @@
         });
   }
 
-  /** After a complete reading: forgets keys that were not in it and are no newer than it began. */
+  /**
+   * After a complete listing: removes keys that it did not contain, unless they were written after
+   * the revision at which it began.
+   */
   void retain(Set<String> keys, long listRevision) {
     for (String kind : Set.copyOf(kinds.keySet())) {
       if (kind.equals(ENDED)) {
--- a/src/main/java/dunlincroft/bookkeeping/StateStore.java
+++ b/src/main/java/dunlincroft/bookkeeping/StateStore.java
@@ -20,26 +20,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The state service by its protocol, within our part of its budget. Calls wait in queues by
- * urgency; one that finds no room in time is refused without being sent.
+ * Client of the state service that stays within this controller's share of the service's published
+ * rates. Calls wait in one queue per urgency; a call that gets no budget within its time limit is
+ * refused without being sent.
  */
 public final class StateStore {
   private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
 
-  /** What a call is for, the most urgent first. */
+  /** Purpose of a call, the most urgent first. */
   public enum Urgency {
+    /** Opening and renewing this node's session, and the record tied to it. */
     HOLD,
+    /** Changes of ownership and other coordination records, and listing all keys. */
     HANDS,
+    /** Watches, read barriers and reads of single keys. */
     READ,
+    /** Final states of jobs. */
     FINISH,
+    /** Cancellations, and raising fence tokens. */
     CANCEL,
+    /** Log entries that record the start of tasks. */
     START,
+    /** Acceptance of production jobs. */
     ACCEPT_PROD,
+    /** Acceptance of all other jobs. */
     ACCEPT,
+    /** Task progress, pages and clean-up, which can wait. */
     LAZY
   }
 
-  /** An answer as a map; status 0: none, or one that could not be understood. */
+  /** An answer with its parsed body; status 0 if there was no usable answer. */
   public record Answer(int status, ObjectNode body) {}
 
   private record PendingCall(
@@ -52,36 +62,51 @@
       long refuseAtMs,
       Consumer<Answer> then) {}
 
+  /** The session that a change is tied to does not exist. */
   private static final int NO_SESSION = 400;
+
   private static final int TOO_MANY_REQUESTS = 429;
 
-  /** Answer of a call that was never sent, for want of budget; the service itself says 429. */
+  /** Answer to a call that was not sent for lack of budget; the service itself also uses 429. */
   private static final Answer NOT_SENT = new Answer(TOO_MANY_REQUESTS, null);
 
   private final Env env;
   private final String address;
+
+  /** The usable part of the published rates, in requests and in writes per second. */
   private final double rps;
+
   private final double writeRps;
   private final TokenBucket requests;
 
-  /** Readings that may be sent while requests are scarce. */
+  /** Reads that may be sent even while requests are scarce. */
   private final TokenBucket reservedReads;
 
   private final TokenBucket writes;
   private final List<ArrayDeque<PendingCall>> queues = new ArrayList<>();
   private final Replica replica;
   private final Soon dispatcher;
+
+  /** Requests and writes submitted, whether or not they could be sent yet. */
   private final RateMeter requestDemand = new RateMeter();
+
   private final RateMeter writeDemand = new RateMeter();
   private final Map<Urgency, Integer> writesByUrgency = new EnumMap<>(Urgency.class);
+
+  /** Calls sent, and calls refused for lack of budget, since the process started. */
   private long sent;
+
   private long refused;
+
+  /** Changes that the caller holds back until there is budget for them. */
   private int backlog;
 
-  /** Whether the last call that was sent was a reading. */
+  /** Whether the last call that was sent was a read. */
   private boolean lastSentWasRead;
 
+  /** Writes that are more urgent than the acceptance of jobs. */
   private final RateMeter urgentWrites = new RateMeter();
+
   private double urgentWritesPerSecond;
 
   public StateStore(Env env, String address, double rps, double writeRps, Replica replica) {
@@ -100,10 +125,10 @@
     }
   }
 
-  /** What a controller wants of the published rates, in requests and changes a second. */
+  /** A controller's demand on the published rates, in requests and in writes per second. */
   public record RateDemand(double requests, double writes) {}
 
-  /** A rate smoothed over some seconds. */
+  /** A rate per second, as an exponentially weighted moving average. */
   private static final class RateMeter {
     private double perSecond;
     private double sum;
@@ -112,6 +137,7 @@
       sum += n;
     }
 
+    /** Ends an interval of {@code seconds} and returns the updated average. */
     double sample(double seconds) {
       double decay = Math.exp(-seconds / Constants.WISH_S);
       perSecond = perSecond * decay + sum / seconds * (1 - decay);
@@ -120,20 +146,21 @@
     }
   }
 
-  /** Our wish since the last call, {@code seconds} ago. */
+  /** This controller's demand; {@code seconds} is the time since the previous call. */
   public RateDemand demand(double seconds) {
     urgentWritesPerSecond = urgentWrites.sample(seconds);
     return new RateDemand(requestDemand.sample(seconds), writeDemand.sample(seconds) + backlog);
   }
 
-  /** Changes that wait until there is budget for them; they are part of our wish. */
+  /** Sets the number of changes that wait for budget at the caller; they count as demand. */
   public void setBacklog(int waitingWrites) {
     backlog = waitingWrites;
   }
 
   /**
-   * Sets our part of the published rates by all controllers' wishes. Everyone has a floor, for what
-   * comes suddenly. The parts are advice: where they add up to more, the service says 429.
+   * Sets this controller's share of the published rates in proportion to the demand of all
+   * controllers. Each controller gets a minimum share for sudden load. Controllers compute their
+   * shares independently; if these add up to more than the published rate, the service answers 429.
    */
   public void setShare(RateDemand own, List<RateDemand> others) {
     int controllers = others.size() + 1;
@@ -151,7 +178,7 @@
     writes.rate(writeRps * (own.writes + floorWrites) / sumWrites, now);
   }
 
-  /** Changes that may be sent at once and leave something for what is more urgent. */
+  /** Number of writes that can be sent now while leaving a reserve for more urgent ones. */
   public int availableWrites() {
     if (waitingCalls() > 0) {
       return 0;
@@ -159,7 +186,7 @@
     return (int) writes.availableAbove(Constants.WRITES_KEPT, env.nowMillis());
   }
 
-  /** Calls that wait for budget. */
+  /** Number of calls that wait for budget. */
   public int waitingCalls() {
     int n = 0;
     for (ArrayDeque<PendingCall> queue : queues) {
@@ -168,7 +195,10 @@
     return n;
   }
 
-  /** Calls so far, and the changes by what they were for since the last line. */
+  /**
+   * Metrics line: counts of calls since the process started, the current queue, and writes by
+   * urgency since the previous line.
+   */
   public String metrics() {
     String line =
         "sent="
@@ -207,7 +237,7 @@
       Consumer<Answer> then) {
     long now = env.nowMillis();
     if (isAcceptance(urgency) && expectedWaitMs(urgency, writeCount) > maxWaitMs) {
-      // A user who cannot be served in time is told so now, not when the time is over.
+      // A submission that cannot be sent in time is refused now instead of at its time limit.
       refused++;
       env.after(0, () -> then.accept(NOT_SENT));
       return;
@@ -218,7 +248,7 @@
         .add(new PendingCall(urgency, method, path, body, writeCount, timeoutMs, refuseAt, then));
     requestDemand.add(1);
     writeDemand.add(writeCount);
-    // From a timer even when there is room: no caller is called back inside its own call.
+    // Dispatched from a timer even if budget is available: a callback never runs inside submit.
     dispatcher.in(0);
   }
 
@@ -227,7 +257,8 @@
   }
 
   /**
-   * Milliseconds that so many changes would wait behind what waits already and goes before them.
+   * Milliseconds that a call with this many writes would wait for write budget behind the waiting
+   * calls of the same or higher urgency.
    */
   public long expectedWaitMs(Urgency urgency, int newWrites) {
     double ahead = newWrites;
@@ -239,7 +270,7 @@
     return (long) (1000 * writes.secondsUntil(ahead, env.nowMillis()));
   }
 
-  /** Submissions a second that can be accepted beside what is more urgent, as of late. */
+  /** Submissions per second that can be accepted beside the recent rate of more urgent writes. */
   public double acceptancesPerSecond() {
     return Math.max(writes.rate() - urgentWritesPerSecond, Constants.ACCEPT_LEAST * writes.rate());
   }
@@ -264,6 +295,7 @@
     }
   }
 
+  /** Refuses the calls whose time limit for getting budget has passed. */
   private void refuseOverdue() {
     List<PendingCall> overdue = new ArrayList<>();
     for (ArrayDeque<PendingCall> queue : queues) {
@@ -276,9 +308,10 @@
   }
 
   /**
-   * What goes next, after what keeps our holds. Readings and changes do not hold each other up: a
-   * reading does not wait for change budget that a more urgent change lacks; and where requests are
-   * scarce they take turns, since both come without end.
+   * The call to send next, or null if no waiting call has budget. Reads and writes do not block
+   * each other: a read does not wait behind a more urgent write that lacks write budget. If both
+   * can be sent, they alternate, since a continuous stream of either would starve the other.
+   * Session renewals take precedence.
    */
   private PendingCall nextCall(long now) {
     PendingCall read = firstWaiting(false);
@@ -295,12 +328,12 @@
     return lastSentWasRead && read.urgency != Urgency.HOLD ? write : read;
   }
 
-  /** Watches and barriers of all controllers leave a part of the requests while they are scarce. */
+  /** While requests are scarce, reads are limited to their reserved rate; writes get the rest. */
   private boolean canRead(long now) {
     return requests.availableAbove(Constants.REQUESTS_AMPLE, now) > 0 || reservedReads.has(1, now);
   }
 
-  /** The most urgent reading, or change, that waits; null: none. */
+  /** The most urgent waiting write, or the most urgent waiting read; null if there is none. */
   private PendingCall firstWaiting(boolean isWrite) {
     for (ArrayDeque<PendingCall> queue : queues) {
       for (PendingCall pending : queue) {
@@ -327,7 +360,8 @@
             call.timeoutMs),
         reply -> {
           if (reply.status() == TOO_MANY_REQUESTS && env.nowMillis() < call.refuseAtMs) {
-            // Not carried out: together we asked for too much. It goes first, a little later.
+            // Not executed: all controllers together exceeded the rate. After a pause, the call is
+            // retried before others of its urgency.
             queues.get(call.urgency.ordinal()).addFirst(call);
             (call.writes > 0 ? writes : requests).discardTokens(env.nowMillis());
             dispatcher.in(Constants.OVER_RATE_MS);
@@ -351,12 +385,12 @@
 
   // ---- calls ----
 
-  /** Commits; on success the replica shows the changes before {@code then} runs. */
+  /** Commits a transaction; on success the replica is updated before {@code then} runs. */
   public void commit(Urgency urgency, Txn txn, Consumer<Txn.Result> then) {
     commit(urgency, txn, Constants.BUDGET_WAIT_MS, then);
   }
 
-  /** The same, given up when it would wait longer for budget. */
+  /** Commits a transaction, which is refused if it would wait longer than this for budget. */
   public void commit(Urgency urgency, Txn txn, long maxWaitMs, Consumer<Txn.Result> then) {
     submit(
         urgency,
@@ -374,10 +408,10 @@
       switch (answer.status) {
         case 200 -> {
           long revision = Fields.count(answer.body, "epoch");
-          // An answer can lie in a socket for as long as the process stands still. What the feed
-          // has
-          // passed meanwhile it has shown, with all that came after: shown again, a job that has
-          // ended would be there once more, and be run by whoever holds its shard.
+          // The answer may have waited in the socket buffer during a process pause. If the feed has
+          // passed this revision, the replica already contains these changes and all later ones.
+          // Applying them again would restore a job that has ended since, and the owner of its
+          // shard would run it again.
           for (Txn.Op op : revision <= replica.revision() ? List.<Txn.Op>of() : txn.ops()) {
             if (op.data() == null) {
               replica.remove(op.key(), revision);
@@ -400,15 +434,17 @@
         }
       }
     } catch (Malformed e) {
-      LOG.info("state service: {}", e.getMessage());
+      LOG.info("malformed commit answer from the state service: {}", e.getMessage());
       return new Txn.Result(Txn.Outcome.UNKNOWN, 0, List.of());
     }
   }
 
+  /** Reads one key directly from the state service. */
   public void get(String key, Consumer<Answer> then) {
     submit(Urgency.READ, "GET", Wire.KEYS + "/" + key, null, 0, Constants.STATE_CALL_MS, then);
   }
 
+  /** Lists one page of all keys, after the given key; null starts with the first key. */
   void list(String after, Consumer<Answer> then) {
     String path = Wire.KEYS + "?under=" + Wire.ROOT + "&most=" + Constants.KEY_PAGE;
     submit(
@@ -421,6 +457,7 @@
         then);
   }
 
+  /** Reads the changes after a revision; waits for one up to {@code blockMs}. */
   void changes(long since, long blockMs, Consumer<Answer> then) {
     submit(
         Urgency.READ,
@@ -432,6 +469,7 @@
         then);
   }
 
+  /** Opens a session. */
   public void openSession(Consumer<Answer> then) {
     submit(
         Urgency.HOLD,
@@ -443,6 +481,7 @@
         then);
   }
 
+  /** Renews a session. */
   public void renewSession(long sessionId, Consumer<Answer> then) {
     submit(
         Urgency.HOLD,
@@ -454,12 +493,12 @@
         then);
   }
 
-  /** The stamp of an answered GET; 0 when the key does not exist. */
+  /** The stamp in the answer to a GET; 0 if the key does not exist. */
   public static long stamp(Answer answer) throws Malformed {
     return answer.status == 200 ? Fields.count(answer.body, "stamp") : 0;
   }
 
-  /** The data of an answered GET, or null. */
+  /** The data in the answer to a GET; null if the key does not exist. */
   public static JsonNode data(Answer answer) {
     return answer.status == 200 ? answer.body.get("data") : null;
   }
--- a/src/main/java/dunlincroft/bookkeeping/TokenBucket.java
+++ b/src/main/java/dunlincroft/bookkeeping/TokenBucket.java
@@ -1,6 +1,9 @@
 package dunlincroft.bookkeeping;
 
-/** Our part of a published rate; a second's worth, or a least burst, may be saved up. */
+/**
+ * Token bucket for this controller's share of a published rate. Its capacity is one second's worth
+ * of tokens or the given burst, whichever is larger.
+ */
 public final class TokenBucket {
   private final double burst;
   private double perSecond;
@@ -14,32 +17,33 @@
     this.lastRefillMs = nowMs;
   }
 
+  /** Sets the rate, in tokens per second. */
   public void rate(double newPerSecond, long nowMs) {
     refill(nowMs);
     perSecond = newPerSecond;
   }
 
-  /** Tokens a second. */
+  /** The rate, in tokens per second. */
   public double rate() {
     return perSecond;
   }
 
-  /** Seconds until so many tokens are there. */
+  /** Seconds until {@code n} tokens are available at the current rate. */
   public double secondsUntil(double n, long nowMs) {
     refill(nowMs);
     return tokens >= n ? 0 : (n - tokens) / perSecond;
   }
 
-  /** Tokens that are there beyond a part kept for what is more urgent. */
+  /** Tokens available above a fraction of the capacity that is reserved for more urgent calls. */
   public double availableAbove(double reservedFraction, long nowMs) {
     refill(nowMs);
-    // A bucket of one token would never have one to spare.
+    // With a capacity of one token there would never be a token above the reserved fraction.
     return tokens >= capacity()
         ? Math.max(1, tokens - capacity() * reservedFraction)
         : tokens - capacity() * reservedFraction;
   }
 
-  /** The service says that there are none: for a while there are not. */
+  /** Discards all tokens, after the service has answered that the rate is exceeded. */
   public void discardTokens(long nowMs) {
     refill(nowMs);
     tokens = Math.min(tokens, 0);
@@ -54,13 +58,13 @@
     lastRefillMs = nowMs;
   }
 
-  /** True when {@code n} tokens are there; a wish above the bucket's size waits for a full one. */
+  /** Whether {@code n} tokens are available; more than the capacity only needs a full bucket. */
   public boolean has(double n, long nowMs) {
     refill(nowMs);
     return tokens >= Math.min(n, capacity());
   }
 
-  /** May go below zero, when a wish is larger than the bucket. */
+  /** Consumes {@code n} tokens. The balance becomes negative if n exceeds the available tokens. */
   public void consume(double n, long nowMs) {
     refill(nowMs);
     tokens -= n;
--- a/src/main/java/dunlincroft/bookkeeping/Txn.java
+++ b/src/main/java/dunlincroft/bookkeeping/Txn.java
@@ -9,34 +9,39 @@
 import java.util.List;
 import java.util.Map;
 
-/** A guarded transaction on the state service. */
+/** A transaction on the state service: its changes apply only if the stamps of all guards match. */
 public final class Txn {
-  /** How it ended. */
+  /** How a transaction ended. */
   public enum Outcome {
     /** Applied. */
     OK,
-    /** A guard failed; nothing was applied. */
+    /** At least one guard did not match; nothing was applied. */
     CONFLICT,
-    /** Certainly not carried out. */
+    /** Rejected or never sent: certainly not applied. */
     REFUSED,
-    /** No answer: it may have been applied, or may yet be. */
+    /** No usable answer: it may have been applied or may still be. */
     UNKNOWN
   }
 
-  /** The outcome, with the store's revision and the keys whose guards failed. */
+  /**
+   * Result of a transaction.
+   *
+   * @param revision revision of the state service after a successful commit, otherwise 0
+   * @param failedKeys keys whose guards did not match, after a conflict
+   */
   public record Result(Outcome outcome, long revision, List<String> failedKeys) {
     public boolean ok() {
       return outcome == Outcome.OK;
     }
   }
 
-  /** A put ({@code data} set) or a removal. */
+  /** One change: a put, or a removal if {@code data} is null. */
   record Op(String key, JsonNode data, long sessionId) {}
 
   private final Map<String, Long> guards = new LinkedHashMap<>();
   private final List<Op> ops = new ArrayList<>();
 
-  /** Guards a key at a stamp; 0: it must not exist. */
+  /** Requires that a key has this stamp; 0 requires that it does not exist. */
   public Txn guard(String key, long stamp) {
     guards.put(key, stamp);
     return this;
@@ -46,7 +51,7 @@
     return put(key, data, 0);
   }
 
-  /** {@code tenancy} 0 attaches the key to no hold. */
+  /** Puts a key that the service removes when the session ends; 0 ties it to no session. */
   public Txn put(String key, JsonNode data, long sessionId) {
     ops.add(new Op(key, data, sessionId));
     return this;
@@ -57,6 +62,7 @@
     return this;
   }
 
+  /** Number of changes, without the guards. */
   public int size() {
     return ops.size();
   }
--- a/src/main/java/dunlincroft/conditions/Condition.java
+++ b/src/main/java/dunlincroft/conditions/Condition.java
@@ -2,27 +2,30 @@
 
 import dunlincroft.protocol.JobSpec;
 
-/** A part of the product that has a say in starts. The scheduler knows none of them by name. */
+/**
+ * A feature that restricts when and where tasks of certain jobs may start, such as the settlement
+ * calendar or a migration. The scheduler uses conditions only through this interface.
+ */
 public interface Condition {
-  /** What becomes of a task that runs although its job may not start any. */
+  /** What happens to running tasks of a job at the cut-off, from which on it may not start any. */
   enum CutOffAction {
-    /** It goes on. */
+    /** The task runs to its end. */
     FINISH,
-    /** It saves, if it can, and stops. */
+    /** The task saves a snapshot, if it can, and stops. */
     SAVE,
-    /** It stops at once. */
+    /** The task stops at once. */
     STOP
   }
 
-  /** Whether it says anything of any job at present; if not, nobody asks further. */
+  /** Whether the condition restricts any job at present; if not, it is not evaluated. */
   boolean active();
 
-  /** What it says of a job. */
+  /** The decision on starts of a job's tasks. */
   Decision decide(JobSpec spec);
 
-  /** What becomes of the tasks of a job, as its time is over; null: it is not. */
+  /** What to do with the running tasks of a job after its cut-off; null if none has passed. */
   CutOffAction cutOffAction(JobSpec spec);
 
-  /** A task of a job ran to its end: its run time, in seconds. */
+  /** Called when a task of a job has completed, with its run time in seconds. */
   void onTaskFinished(JobSpec spec, double seconds);
 }
--- a/src/main/java/dunlincroft/conditions/Conditions.java
+++ b/src/main/java/dunlincroft/conditions/Conditions.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** All conditions together: a start needs every one's word and is guarded for every one. */
+/** Combines all conditions: a start must be allowed by each and carries the guards of each. */
 public final class Conditions {
   private final List<Condition> all;
 
@@ -14,7 +14,7 @@
     this.all = List.copyOf(all);
   }
 
-  /** Whether any of them says anything of any job. */
+  /** Whether any condition restricts any job at present. */
   public boolean active() {
     for (Condition condition : all) {
       if (condition.active()) {
@@ -24,7 +24,7 @@
     return false;
   }
 
-  /** What they say of a job together. */
+  /** The combined decision of all active conditions on a job. */
   public Decision decide(JobSpec spec) {
     Decision combined = Decision.UNRESTRICTED;
     for (Condition condition : all) {
@@ -45,7 +45,7 @@
     return combined;
   }
 
-  /** The strictest end that any of them wants for the tasks of a job; null: none does. */
+  /** The strictest action that any condition demands for a job's running tasks; null if none. */
   public CutOffAction cutOffAction(JobSpec spec) {
     CutOffAction strictest = null;
     for (Condition condition : all) {
@@ -58,7 +58,7 @@
     return strictest;
   }
 
-  /** A task of a job ran to its end: its run time, in seconds. */
+  /** Called when a task of a job has completed, with its run time in seconds. */
   public void onTaskFinished(JobSpec spec, double seconds) {
     for (Condition condition : all) {
       if (condition.active()) {
--- a/src/main/java/dunlincroft/conditions/Decision.java
+++ b/src/main/java/dunlincroft/conditions/Decision.java
@@ -3,18 +3,20 @@
 import java.util.Map;
 
 /**
- * What a condition says of the starts of a job at one moment.
+ * Decision of a condition on the starts of a job's tasks at one moment.
  *
  * @param startAllowed whether a task may start now
- * @param machinesWanted whether machines should be there for it: a start is near, and would be in
- *     time
- * @param deadlineMs when its tasks must be over, in milliseconds of the time of day;
- *     Long.MAX_VALUE: whenever
- * @param guards keys of the state service and the stamps that they must have for a start to be
- *     recorded: if what the ruling rests on has changed, the start fails, whoever decided it
- * @param noLateStart whether a start may not be executed late, either: its order then goes into
- *     answers to reports alone
- * @param sides where each task may be; null: wherever its job allows
+ * @param machinesWanted whether machines should be provisioned for the job: a start is due now or
+ *     soon and leaves enough time before the deadline
+ * @param deadlineMs wall clock time in milliseconds by which the job's tasks must have ended;
+ *     Long.MAX_VALUE if there is no deadline
+ * @param guards keys of the state service with the stamps that they must have for a start to be
+ *     recorded: if a record that the decision depends on has changed, the start fails, whichever
+ *     controller decided it
+ * @param noLateStart whether a start must not be executed late: the start order is then sent only
+ *     in answers to worker reports
+ * @param sides side of a migration on which each task may run; null if the condition does not
+ *     restrict machines
  */
 public record Decision(
     boolean startAllowed,
@@ -23,11 +25,11 @@
     Map<String, Long> guards,
     boolean noLateStart,
     MigrationSides sides) {
-  /** Nothing is said of the job. */
+  /** The condition does not restrict the job. */
   public static final Decision UNRESTRICTED =
       new Decision(true, true, Long.MAX_VALUE, Map.of(), false, null);
 
-  /** Whether anything is said of the job. */
+  /** Whether the job is restricted by a condition. */
   public boolean isRestricted() {
     return this != UNRESTRICTED;
   }
--- a/src/main/java/dunlincroft/conditions/MigrationSides.java
+++ b/src/main/java/dunlincroft/conditions/MigrationSides.java
@@ -1,8 +1,8 @@
 package dunlincroft.conditions;
 
 /**
- * Two sides that the tasks of a job are shared out over. Which side a task is on, and which
- * machines a side is, follow from a record that starts are guarded by.
+ * Division of a job's tasks and of the machines between the old and the new side of a migration.
+ * Both follow from the migration's record, whose stamp guards every start.
  */
 public interface MigrationSides {
   int OLD = 0;
@@ -11,6 +11,6 @@
   /** The side of a task, OLD or NEW. */
   int sideOf(int task);
 
-  /** Whether a machine is of a side. */
+  /** Whether a machine belongs to a side. */
   boolean contains(int side, String host, String type, String zone, boolean spot);
 }
--- a/src/main/java/dunlincroft/documents/DocumentStore.java
+++ b/src/main/java/dunlincroft/documents/DocumentStore.java
@@ -18,34 +18,35 @@
 import java.util.Set;
 
 /**
- * Puts versions of documents into the state service, one change at a time: pages first, the
- * manifest last and guarded, then what no version names any more is swept. Ended at any point it
- * leaves the versions that were there; whoever puts next sweeps what is left over.
+ * Writes versions of documents to the state service, one change at a time: first the pages, then
+ * the manifest under a guard, then it removes the pages that no version refers to any more. If
+ * interrupted before the manifest is written, the existing versions stay as they were; the next put
+ * removes leftover pages.
  */
 public final class DocumentStore {
-  /** A request to the state service and its answer; waits as long as it must. */
+  /** Blocking client of the state service. */
   public interface StateClient {
     Answer call(String method, String path, ObjectNode body) throws Unreachable;
   }
 
-  /** An answer: its status and, where there is one, its body. */
+  /** An answer: its status, 0 if there was none, and its body, if it has one. */
   public record Answer(int status, JsonNode body) {}
 
-  /** The state service did not answer, or refused for too long. */
+  /** The state service did not answer, or refused all attempts. */
   public static final class Unreachable extends Exception {
     private static final long serialVersionUID = 1;
 
-    public Unreachable(String why) {
-      super(why);
+    public Unreachable(String reason) {
+      super(reason);
     }
   }
 
-  /** Somebody else put a version meanwhile: nothing of ours counts. */
+  /** A guard failed because of a concurrent change; this change was not applied. */
   public static final class Conflict extends Exception {
     private static final long serialVersionUID = 1;
 
     Conflict(String name) {
-      super("somebody else has changed " + name + " meanwhile; look at it and try again");
+      super("conflicting change of " + name + ": check the current version and try again");
     }
   }
 
@@ -54,8 +55,8 @@
   private final int txnOps;
 
   /**
-   * @param valueBytes limit of the state service for one value
-   * @param txnOps its limit for the changes of one transaction
+   * @param valueBytes the state service's size limit for one value
+   * @param txnOps the state service's limit for the number of changes in one transaction
    */
   public DocumentStore(StateClient client, int valueBytes, int txnOps) {
     this.client = client;
@@ -66,7 +67,7 @@
   private JsonNode read(String key) throws Unreachable {
     Answer answer = client.call("GET", Wire.KEYS + "/" + key, null);
     if (answer.status != 200 && answer.status != 404) {
-      throw new Unreachable("reading " + key + ": " + answer.status);
+      throw new Unreachable("reading " + key + " failed with status " + answer.status);
     }
     return answer.status == 200 ? answer.body : null;
   }
@@ -84,7 +85,7 @@
     return Documents.versions(data(read(Documents.manifestKey(name))));
   }
 
-  /** The text of a version. */
+  /** Reads the text of a version. */
   public String text(String name, Version version) throws Unreachable, Malformed {
     Map<String, JsonNode> pages = new LinkedHashMap<>();
     for (int page = 0; page < version.pages(); page++) {
@@ -93,23 +94,24 @@
     }
     String text = Documents.text(name, version, pages::get);
     if (text == null) {
-      throw new Malformed("version " + version.number() + " of " + name + " lacks a page");
+      throw new Malformed("version " + version.number() + " of " + name + " has a missing page");
     }
     return text;
   }
 
-  /** Puts a record of its own, which must not be there yet. */
+  /** Creates a record under a key that must not exist yet. */
   public void create(String name, String key, JsonNode data)
       throws Unreachable, Malformed, Conflict {
     commit(name, Map.of(key, 0L), Map.of(key, data));
   }
 
-  /** Puts a text as the newest version; returns its number. */
+  /** Writes a text as the newest version of a document; returns the version's number. */
   public long put(String name, String text, String author, long nowMs)
       throws Unreachable, Malformed, Conflict {
     JsonNode currentManifest = read(Documents.manifestKey(name));
     List<Version> versions = new ArrayList<>(Documents.versions(data(currentManifest)));
-    // Above all that is left of anybody's try, so that no page of it is taken for one of ours.
+    // Higher than the number of any leftover page of an interrupted put, so that none of those
+    // pages can become part of this version.
     long number = 1 + highestNumber(name, versions);
     List<String> pages = Documents.pages(text, valueBytes);
     for (int page = 0; page < pages.size(); page++) {
@@ -123,12 +125,13 @@
         name,
         Map.of(key, stamp(currentManifest)),
         Map.of(key, Documents.manifest(versions)),
-        // Somebody may have put a newer one on top of ours before we knew that ours is there.
+        // After a lost answer the manifest may already name a newer version written by another put.
         () -> history(name).contains(added));
     removeUnreferencedPages(name);
     return number;
   }
 
+  /** The highest version number used by a version or by a leftover page. */
   private long highestNumber(String name, List<Version> versions) throws Unreachable, Malformed {
     long highest = versions.stream().mapToLong(Version::number).max().orElse(0);
     for (String key : pageKeys(name)) {
@@ -137,6 +140,7 @@
     return highest;
   }
 
+  /** The version number in a page key. */
   private static long versionNumber(String key) {
     String[] parts = key.split("/");
     return Long.parseLong(parts[parts.length - 2]);
@@ -151,7 +155,7 @@
     while (more) {
       Answer answer = client.call("GET", path + since, null);
       if (answer.status != 200) {
-        throw new Unreachable("listing pages of " + name + ": " + answer.status);
+        throw new Unreachable("listing pages of " + name + " failed with status " + answer.status);
       }
       String last = null;
       for (JsonNode item : Fields.list(answer.body, "items")) {
@@ -165,8 +169,8 @@
   }
 
   /**
-   * Removes pages that no version names and that no newer version can be made of. One that is being
-   * put has a higher number than all named, and is left alone.
+   * Removes pages below the newest version that no version refers to. The pages of a put in
+   * progress have a higher number than all versions in the manifest and are kept.
    */
   private void removeUnreferencedPages(String name) throws Unreachable, Malformed, Conflict {
     List<Version> versions = history(name);
@@ -187,7 +191,7 @@
     }
   }
 
-  /** Looks up whether a transaction was applied whose answer was lost. */
+  /** Reads back whether a transaction was applied after its answer was lost. */
   private interface AppliedCheck {
     boolean isApplied() throws Unreachable, Malformed;
   }
@@ -197,7 +201,11 @@
     commit(name, guards, puts, () -> isApplied(puts));
   }
 
-  /** One transaction; null data removes. An unanswered one is looked up and tried again. */
+  /**
+   * Commits one transaction, in which null data removes a key. An attempt without an answer is
+   * repeated; if the repetition then conflicts, {@code appliedCheck} tells whether the earlier
+   * attempt was applied.
+   */
   private void commit(
       String name, Map<String, Long> guards, Map<String, JsonNode> puts, AppliedCheck appliedCheck)
       throws Unreachable, Malformed, Conflict {
@@ -227,7 +235,7 @@
       }
       outcomeUnknown |= answer.status == 0;
     }
-    throw new Unreachable("the state service refuses changes");
+    throw new Unreachable("the state service did not accept the change after repeated attempts");
   }
 
   private boolean isApplied(Map<String, JsonNode> puts) throws Unreachable {
--- a/src/main/java/dunlincroft/documents/Documents.java
+++ b/src/main/java/dunlincroft/documents/Documents.java
@@ -13,25 +13,31 @@
 import java.util.function.Function;
 
 /**
- * Operators' documents as the state service keeps them: each version in pages, which are written
- * once, and a manifest that names the versions, the newest last. A version exists from the moment
- * at which the manifest names it; pages that none names are left over and swept.
+ * Storage format of operators' documents in the state service: each version consists of pages,
+ * which are written once, and a manifest lists the versions, the newest last. A version exists once
+ * the manifest lists it; pages that belong to no listed version are leftovers and are removed.
  */
 public final class Documents {
-  /** A version: its number, its pages, who put it and when (milliseconds of the time of day). */
+  /**
+   * A version of a document.
+   *
+   * @param pages number of its pages
+   * @param author name of the operator who wrote it
+   * @param createdAtMs wall clock time in milliseconds at which it was written
+   */
   public record Version(long number, int pages, String author, long createdAtMs) {}
 
-  /** A version with its text. */
+  /** The text of a document and the number of its version. */
   public record Text(long version, String text) {}
 
   private Documents() {}
 
-  /** Key of a document's manifest. */
+  /** State service key of a document's manifest. */
   public static String manifestKey(String name) {
     return Wire.key(Replica.DOCUMENTS, name);
   }
 
-  /** Key of a page. */
+  /** State service key of a page. */
   public static String pageKey(String name, long version, int page) {
     return Wire.key(Replica.DOCUMENT_PAGES, pageName(name, version, page));
   }
@@ -40,7 +46,7 @@
     return name + "/" + version + "/" + page;
   }
 
-  /** The versions that a manifest names, the oldest first; none without one. */
+  /** The versions that a manifest lists, the oldest first; none if the manifest is null. */
   public static List<Version> versions(JsonNode manifest) throws Malformed {
     List<Version> versions = new ArrayList<>();
     if (manifest != null) {
@@ -56,7 +62,7 @@
     return versions;
   }
 
-  /** A manifest of these versions, of which the newest ten are kept. */
+  /** A manifest of the newest ten of these versions. */
   public static ObjectNode manifest(List<Version> versions) {
     ObjectNode manifest = Cbor.map();
     manifest.putArray("versions");
@@ -74,7 +80,7 @@
     return manifest;
   }
 
-  /** A text in pieces that each fit into a value of so many bytes, whatever its characters. */
+  /** Splits a text into pages that fit into a value of this many bytes, whatever the characters. */
   public static List<String> pages(String text, int valueBytes) {
     int pageChars = Math.max(1, (valueBytes - Constants.PAGE_FRAME_BYTES) / Constants.CHAR_BYTES);
     List<String> pages = new ArrayList<>();
@@ -84,14 +90,14 @@
     return pages;
   }
 
-  /** The data of a page. */
+  /** The record of a page. */
   public static ObjectNode page(String text) {
     return Cbor.map().put("text", text);
   }
 
   /**
-   * A version's text, put together from its pages; null when one is missing, as it is while news of
-   * it are on their way.
+   * Assembles a version's text from its pages; null if a page is missing, which happens in a
+   * replica that has not received it yet.
    */
   public static String text(String name, Version version, Function<String, JsonNode> read) {
     StringBuilder text = new StringBuilder();
@@ -105,7 +111,7 @@
     return text.toString();
   }
 
-  /** The newest version that a replica holds whole; null: there is none. */
+  /** The newest version in a replica; null if there is none or one of its pages is missing. */
   public static Text newest(Replica replica, String name) throws Malformed {
     Replica.Item item = replica.get(Replica.DOCUMENTS, name);
     List<Version> versions = versions(item == null ? null : item.data());
--- a/src/main/java/dunlincroft/documents/RateLimitedStateClient.java
+++ b/src/main/java/dunlincroft/documents/RateLimitedStateClient.java
@@ -14,9 +14,9 @@
 import java.time.Duration;
 
 /**
- * The state service as a command asks it, beside a service that runs: its limits are shared, so
- * there is a pause before each request, a longer one before a change, and more of it when told that
- * there is too much.
+ * State service client of the operators' commands. The commands share the service's rate limits
+ * with the running controllers, so there is a pause before each request, a longer one before a
+ * change, and the pause doubles when the service is overloaded or a read fails.
  */
 public final class RateLimitedStateClient implements DocumentStore.StateClient {
   private static final int TOO_MANY_REQUESTS = 429;
@@ -29,7 +29,7 @@
   private final String address;
 
   /**
-   * @param address of the state service, as IP:PORT
+   * @param address address of the state service, as IP:PORT
    */
   public RateLimitedStateClient(String address) {
     this.address = address;
@@ -63,11 +63,11 @@
             response.statusCode(), empty ? Cbor.map() : Cbor.parse(response.body()));
       } catch (IOException e) {
         if (body != null) {
-          return new DocumentStore.Answer(0, null); // It may have been carried out.
+          return new DocumentStore.Answer(0, null); // The change may have been applied.
         }
         pause *= 2;
       } catch (Malformed e) {
-        throw new DocumentStore.Unreachable("the state service answers nonsense to " + path);
+        throw new DocumentStore.Unreachable("the state service sent a malformed answer to " + path);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         throw new DocumentStore.Unreachable("interrupted");
--- a/src/test/java/dunlincroft/bookkeeping/JobIndexTest.java
+++ b/src/test/java/dunlincroft/bookkeeping/JobIndexTest.java
@@ -29,7 +29,7 @@
 
   private record Change(String key, JsonNode data, long stamp) {}
 
-  /** What a holder writes: jobs, news in a slot or the next one, now and then a page. */
+  /** Writes the records of a shard owner: jobs, entries in log slots and occasionally pages. */
   private static final class Writer {
     private final Random random;
     private final List<Change> history = new ArrayList<>();
@@ -86,8 +86,8 @@
       entryNumber++;
       if (slot.size() > 3) {
         slot = Cbor.map().putArray("log");
-        slotNumber =
-            (slotNumber + 37) % 101; // By name a later slot may stand before an earlier one.
+        // A later slot may sort before an earlier one by name.
+        slotNumber = (slotNumber + 37) % 101;
       }
       slot.add(
           new LogRecord.Entry(entryNumber, ref, new TaskState(done, free, places, false)).toNode());
@@ -160,9 +160,10 @@
   }
 
   /**
-   * A first reading shows each key as of another moment, and the feed begins at the first of them.
-   * A job accepted while a node read once came to it after entries of its log: the node took that
-   * job's tasks for waiting, and ran them twice when it took the shard over.
+   * The first listing reads each key as of a different revision, and the feed starts at the
+   * earliest of them. A job accepted during the listing can therefore arrive after entries of its
+   * log. If these were lost, the node would take the job's tasks for waiting, and run them a second
+   * time after acquiring the shard.
    */
   @Property(seed = "23", tries = 300)
   void listingDuringChangesConvergesToWrittenState(@ForAll long seed) throws Malformed {
--- a/src/test/java/dunlincroft/bookkeeping/ReplicaTest.java
+++ b/src/test/java/dunlincroft/bookkeeping/ReplicaTest.java
@@ -15,7 +15,7 @@
 class ReplicaTest {
   private record Change(String name, boolean put, long stamp) {}
 
-  /** Own commits run ahead of the feed; whatever the order, the last revision of a key stays. */
+  /** Own commits may arrive before the feed; in any order, the last revision of a key must win. */
   @Property(seed = "17", tries = 200)
   void changesInAnyOrderConvergeToTheSameState(@ForAll long seed) {
     Random random = new Random(seed);
@@ -34,7 +34,7 @@
     assertThat(mixed.items("jobs")).containsExactlyInAnyOrderEntriesOf(ordered.items("jobs"));
   }
 
-  /** The end stands in the place of the description, and nothing older brings the job back. */
+  /** A final state replaces the job's record; an older record that arrives later is ignored. */
   @Test
   void olderRecordDoesNotRestoreEndedJob() {
     Replica replica = new Replica();
--- a/src/test/java/dunlincroft/bookkeeping/StateStoreFairnessTest.java
+++ b/src/test/java/dunlincroft/bookkeeping/StateStoreFairnessTest.java
@@ -17,11 +17,11 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 
-/** Readings and changes beside each other, where requests or changes are scarce. */
+/** Fairness between reads and writes when the request budget or the write budget is scarce. */
 class StateStoreFairnessTest {
-  /** A clock with timers; what is sent is noted, and not answered. */
+  /** A virtual clock with timers; calls are recorded and get no answer. */
   private static final class FakeEnv implements Env {
-    private record Timer(long at, long number, Runnable what) {}
+    private record Timer(long at, long number, Runnable action) {}
 
     private final PriorityQueue<Timer> timers =
         new PriorityQueue<>(Comparator.comparingLong(Timer::at).thenComparingLong(Timer::number));
@@ -51,7 +51,7 @@
 
     @Override
     public void leave(String address) {
-      throw new AssertionError("the state service is never left");
+      throw new AssertionError("connections to the state service must be kept");
     }
 
     @Override
@@ -64,7 +64,7 @@
       while (!timers.isEmpty() && timers.peek().at <= until) {
         Timer next = timers.poll();
         now = next.at;
-        next.what.run();
+        next.action.run();
       }
       now = until;
     }
@@ -91,9 +91,9 @@
   }
 
   /**
-   * Users' polls and the watch ask without end. Readings were sent before all but the takeovers'
-   * changes: with few requests a second nothing was accepted, started or ended any more, though the
-   * service had room for nearly all its changes.
+   * Guards against starvation of writes: polls and the watch read continuously, and reads used to
+   * be sent before all writes except those of takeovers. With a low request rate no job was
+   * accepted, started or ended any more, although nearly the whole write budget was unused.
    */
   @Test
   void writesAreSentWhileReadsExhaustTheRequestBudget() {
@@ -106,12 +106,12 @@
       env.advance(50);
     }
     assertThat(env.sent.size()).as("requests are scarce").isLessThan(150);
-    assertThat(env.sent("POST")).as("changes that were sent").isGreaterThanOrEqualTo(38);
-    assertThat(notSent).as("changes that found no budget").isLessThanOrEqualTo(2);
-    assertThat(env.sent("GET")).as("readings that were sent").isGreaterThan(50);
+    assertThat(env.sent("POST")).as("writes that were sent").isGreaterThanOrEqualTo(38);
+    assertThat(notSent).as("writes that got no budget").isLessThanOrEqualTo(2);
+    assertThat(env.sent("GET")).as("reads that were sent").isGreaterThan(50);
   }
 
-  /** A reading needs no change budget: it does not wait behind a change that has none. */
+  /** A read needs no write budget: it does not wait behind a write that has none. */
   @Test
   void readsDoNotWaitForWriteBudget() {
     StateStore store = store(1000, 5);
@@ -119,13 +119,13 @@
       write(store, Urgency.HANDS, "run-" + i);
     }
     env.advance(100);
-    assertThat(store.waitingCalls()).as("changes that wait").isGreaterThan(20);
+    assertThat(store.waitingCalls()).as("waiting writes").isGreaterThan(20);
     store.get("d/jobs/run-1", answer -> {});
     env.advance(100);
     assertThat(env.sent("GET")).isEqualTo(1);
   }
 
-  /** Where changes are what is scarce, the more urgent still go first. */
+  /** If write budget is scarce, the more urgent writes are sent first. */
   @Test
   void urgentWritesAreSentFirst() {
     StateStore store = store(1000, 5);
@@ -153,13 +153,13 @@
     return env.sent("GET") - before;
   }
 
-  /** Readings that come without end leave requests for the changes that come now and then. */
+  /** Continuous reads leave requests for occasional writes. */
   @Test
   void writesAreSentAtOnceUnderConstantReads() {
     StateStore store = store(30, 30);
     store.setShare(new StateStore.RateDemand(20, 1), FOUR_OTHERS);
     long read = readsSentIn(store, 20);
-    assertThat(read).as("readings are held back").isBetween(60L, 200L);
+    assertThat(read).as("reads are throttled").isBetween(60L, 200L);
     for (int i = 0; i < 3; i++) {
       write(store, Urgency.ACCEPT, "run-" + i);
     }
@@ -167,7 +167,7 @@
     assertThat(env.sent("POST")).isEqualTo(3);
   }
 
-  /** Changes that come without end leave their part of the requests to readings. */
+  /** Continuous writes leave reads their share of the requests. */
   @Test
   void readsKeepTheirShareUnderConstantWrites() {
     double rps = 30;
@@ -184,7 +184,7 @@
     assertThat(env.sent("POST") / 20.0).isGreaterThan(share);
   }
 
-  /** Where there are requests enough, nobody waits for a reading. */
+  /** Reads are not delayed while the request budget is ample. */
   @Test
   void readsAreNotThrottledWhileRequestsAreAmple() {
     StateStore store = store(300, 30);
--- a/src/test/java/dunlincroft/bookkeeping/StateStoreTest.java
+++ b/src/test/java/dunlincroft/bookkeeping/StateStoreTest.java
@@ -16,7 +16,7 @@
 class StateStoreTest {
   private static final double WRITE_RPS = 30;
 
-  /** Runs what is due at once; calls get the answer that the test sets, or none. */
+  /** Runs timers without delay only; calls get the answer that the test sets, or none. */
   private static final class FakeEnv implements Env {
     private final List<Runnable> due = new ArrayList<>();
     private long now = 10_000;
@@ -48,7 +48,7 @@
 
     @Override
     public void leave(String address) {
-      throw new AssertionError("the state service is never left");
+      throw new AssertionError("connections to the state service must be kept");
     }
 
     @Override
@@ -82,7 +82,7 @@
     env.run();
   }
 
-  /** Users are told at once what will not be served in time, and when to come back. */
+  /** Submissions that cannot be sent in time are refused at once, with the expected wait. */
   @Test
   void submissionsThatWouldWaitTooLongAreRefusedAtOnce() {
     env.now += 1000;
@@ -99,22 +99,23 @@
   }
 
   /**
-   * The answer to an acceptance lay in its socket while the process stood still; the feed has shown
-   * since that the job was cancelled and ended. Taken in after that, it would be run again.
+   * The answer to an acceptance waited in its socket during a process pause, and the feed has since
+   * shown that the job was cancelled and ended. If the answer were applied, the job would run
+   * again.
    */
   @Test
   void commitAnswerOlderThanTheFeedIsIgnored() {
     env.status = 200;
     env.body = Cbor.bytes(Cbor.map().put("epoch", 12));
     env.now += 1000;
-    replica.revision(40);
+    replica.advanceTo(40);
     accept(1);
     assertThat(env.calls).isEqualTo(1);
     assertThat(refused).isZero();
     assertThat(replica.items(Replica.JOBS)).isEmpty();
   }
 
-  /** The service's 429 carries nothing out: the call is asked again, not given up. */
+  /** A call answered with 429 was not executed: it is retried instead of being refused. */
   @Test
   void callAnsweredWith429IsRetried() {
     env.status = 429;
--- a/src/test/java/dunlincroft/documents/DocumentStoreTest.java
+++ b/src/test/java/dunlincroft/documents/DocumentStoreTest.java
@@ -15,12 +15,12 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Versions of documents, with whoever puts them lost at every request. */
+/** Versions of documents, with a put interrupted, or an answer lost, at every request. */
 class DocumentStoreTest {
   private static final int VALUE_BYTES = 1024;
   private static final int OPS = 3;
 
-  /** The state service's keys, and a fault at a chosen request. */
+  /** In-memory state service with a fault at a chosen request. */
   private static final class FakeStateService implements DocumentStore.StateClient {
     private record Item(JsonNode data, long stamp) {}
 
@@ -29,19 +29,19 @@
     private int requests;
     private int failsAt = Integer.MAX_VALUE;
 
-    /** At this request the change is made and its answer lost. */
+    /** Number of the request whose change is applied but whose answer is lost. */
     private int losesAnswerAt = Integer.MAX_VALUE;
 
     private Runnable beforeNext = () -> {};
 
-    /** What others do once an answer was lost. */
+    /** Concurrent action of another client, run when an answer is lost. */
     private Runnable afterLoss = () -> {};
 
     @Override
     public Answer call(String method, String path, ObjectNode body) throws Unreachable {
       requests++;
       if (requests == failsAt) {
-        throw new Unreachable("ended");
+        throw new Unreachable("interrupted by the test");
       }
       Runnable first = beforeNext;
       beforeNext = () -> {};
@@ -106,7 +106,10 @@
     return store(fake).text("calendar", versions.get(versions.size() - 1));
   }
 
-  /** Lost at any request, the reader sees the one version or the other, and the next put goes. */
+  /**
+   * After a put that was interrupted at any request, readers see the old or the new version, and
+   * the next put succeeds.
+   */
   @Test
   void putMayBeInterruptedAtAnyRequest() throws Exception {
     boolean interrupted = true;
@@ -125,7 +128,7 @@
       store(fake).put("calendar", text(3), "c", 3);
       assertThat(newest(fake)).isEqualTo(text(3));
       long pages = store(fake).history("calendar").stream().mapToInt(Version::pages).sum();
-      assertThat(fake.items).as("nothing is left over").hasSize((int) pages + 1);
+      assertThat(fake.items).as("no leftover pages").hasSize((int) pages + 1);
     }
   }
 
@@ -146,7 +149,7 @@
     store(fake).put("calendar", text(1), "a", 1);
     fake.beforeNext =
         () -> {
-          // After ours has read the manifest.
+          // Runs after this put has read the manifest.
           fake.beforeNext =
               () -> {
                 try {
@@ -161,7 +164,7 @@
     assertThat(newest(fake)).isEqualTo(text(2));
   }
 
-  /** The answer to ours is lost, and somebody puts a newer version before we ask again. */
+  /** The answer to a put is lost, and another client puts a newer version before it is retried. */
   @Test
   void lostAnswerIsRecognisedBelowANewerVersion() throws Exception {
     int exercised = 0;
@@ -188,7 +191,7 @@
       assertThat(succeeded).as("lost at %d: %s", at, authors).isEqualTo(authors.contains("b"));
       exercised += authors.equals(List.of("a", "b", "c")) && fake.requests > losesAt ? 1 : 0;
     }
-    assertThat(exercised).as("ours is there under a newer one").isPositive();
+    assertThat(exercised).as("version applied, but no longer the newest").isPositive();
   }
 
   @Test
