--- a/src/main/java/dunlincroft/coordination/AnswerHandler.java
+++ b/src/main/java/dunlincroft/coordination/AnswerHandler.java
@@ -24,7 +24,7 @@
   /** The newest message of a worker at the moment at which it is asked something. */
   record Known(long tenure, long counter) {
     static Known of(Machine machine) {
-      return new Known(machine.session.tenure(), machine.session.counter());
+      return new Known(machine.session.sessionNumber(), machine.session.counter());
     }
   }
 
@@ -59,7 +59,7 @@
    * the fence is raised, and until the worker has seen that nothing counts as absent.
    */
   private void restarted(Machine machine, WorkerReport report) {
-    LOG.info("host {} has restarted: its {} tasks too", machine.host, machine.placed.size());
+    LOG.info("host {} has restarted: its {} tasks too", machine.host, machine.placements.size());
     long fence = world.fenceToken(machine);
     machine.session.onRestart(fence);
     reports.read(machine, report);
--- /dev/null
+++ b/src/main/java/dunlincroft/coordination/Autoscaler.java
@@ -0,0 +1,210 @@
+package dunlincroft.coordination;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import dunlincroft.Constants;
+import dunlincroft.Settings;
+import dunlincroft.bookkeeping.Replica;
+import dunlincroft.bookkeeping.StateStore.Urgency;
+import dunlincroft.bookkeeping.Txn;
+import dunlincroft.membership.Membership;
+import dunlincroft.protocol.Cbor;
+import dunlincroft.protocol.MachineType;
+import dunlincroft.protocol.Wire;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Machines: the leader rents and leases them; a shard's holder returns them. */
+final class Autoscaler {
+  private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
+
+  /** The name of the record of all machine types. */
+  private static final String ALL_TYPES = "all";
+
+  private final ClusterState cluster;
+  private final Membership membership;
+  private final Ledger placementLog;
+  private final CloudClient cloud;
+  private final MachineDiscovery discovery;
+  private final MachineList machineList;
+  private final MachineProvisioner provisioner;
+  private final Consolidation consolidation;
+  private final MachineReleaser releaser;
+  private long nextTypeQueryMs;
+  private boolean isRecordingTypes;
+  private long standbyUntilMs;
+  private long takeoverImminentUntilMs;
+  private List<String> silentMachines = List.of();
+
+  Autoscaler(
+      ClusterState cluster,
+      Membership membership,
+      WorkerProtocol workers,
+      Ledger placementLog,
+      CloudClient cloud,
+      Demand demand,
+      MachineDiscovery discovery) {
+    this.cluster = cluster;
+    this.membership = membership;
+    this.placementLog = placementLog;
+    this.cloud = cloud;
+    this.discovery = discovery;
+    this.machineList = new MachineList(cluster, membership, workers.probe, cloud, discovery);
+    ZoneOutageDetector zoneOutages = new ZoneOutageDetector(cluster, membership);
+    this.provisioner =
+        new MachineProvisioner(cluster, membership, cloud, demand, discovery, zoneOutages);
+    this.consolidation = new Consolidation(cluster, workers.commands, demand, provisioner);
+    this.releaser =
+        new MachineReleaser(
+            cluster, workers.reports, workers.probe, cloud, discovery, consolidation, zoneOutages);
+  }
+
+  // ---- types ----
+
+  /** Every node learns the types from the record; who knows none asks the cloud. */
+  void refreshTypes() {
+    if (membership.isLeader()
+        && !isRecordingTypes
+        && !cluster.machineTypes.isEmpty()
+        && cluster.replica.get(Replica.TYPES, ALL_TYPES) == null) {
+      recordTypes();
+    }
+    if (cluster.now() < nextTypeQueryMs
+        || (!membership.isLeader() && !cluster.machineTypes.isEmpty())) {
+      return;
+    }
+    nextTypeQueryMs = cluster.now() + (cluster.machineTypes.isEmpty() ? 2000 : Constants.TYPES_MS);
+    cloud.call(
+        false,
+        "GET",
+        Wire.MACHINE_TYPES,
+        null,
+        (status, body) -> {
+          List<MachineType> types =
+              status == 200 && body != null ? ClusterState.parseMachineTypes(body) : List.of();
+          if (types.isEmpty()) {
+            LOG.info("machine types not to be had: {}", status);
+            nextTypeQueryMs = cluster.now() + 2000;
+            return;
+          }
+          boolean isFirst = cluster.machineTypes.isEmpty();
+          cluster.setMachineTypes(types);
+          if (membership.isLeader() && isFirst) {
+            recordTypes();
+          }
+        });
+  }
+
+  /**
+   * As urgent as who holds what: without the types no other controller accepts any job, and the
+   * cloud need not answer them all. It is written again until the record is there.
+   */
+  private void recordTypes() {
+    isRecordingTypes = true;
+    cluster.store.commit(
+        Urgency.HANDS,
+        membership
+            .guardAsLeader(new Txn())
+            .put(
+                Wire.key(Replica.TYPES, ALL_TYPES),
+                MachineType.toNode(List.copyOf(cluster.machineTypes.values()))),
+        result -> {
+          isRecordingTypes = false;
+          LOG.debug("types recorded: {}", result.outcome());
+        });
+  }
+
+  // ---- the leader ----
+
+  void leaderTick() {
+    discovery.tick();
+    recordShares();
+    machineList.tick();
+    if (!cluster.machineTypes.isEmpty() && cluster.feed.stalenessMs() < Constants.STALE_MS) {
+      provisioner.tick();
+      provisioner.provisionForReplicas();
+      provisioner.provisionForStarved();
+    }
+    placementLog.sweep();
+  }
+
+  /** The first lease holder gets each team's whole limit; shares move by their holders alone. */
+  private void recordShares() {
+    List<String> shards = membership.leasedShards();
+    if (shards.isEmpty()) {
+      return;
+    }
+    Txn txn = membership.guardAsLeader(new Txn());
+    for (Settings.Team team : cluster.settings.teams().values()) {
+      String key = Wire.key(Replica.SHARES, team.name());
+      if (cluster.replica.get(Replica.SHARES, team.name()) == null
+          && txn.size() < cluster.settings.txnOps()) {
+        ObjectNode share = Cbor.map();
+        share
+            .putObject(shards.get(0))
+            .put("cpu", team.limit().cpu())
+            .put("gpu", team.limit().gpu());
+        txn.guard(key, 0).put(key, share);
+      }
+    }
+    if (txn.size() > 0) {
+      cluster.store.commit(
+          Urgency.HANDS, txn, result -> LOG.debug("shares recorded: {}", result.outcome()));
+    }
+  }
+
+  // ---- the holder ----
+
+  void locateMachines() {
+    machineList.locateMachines();
+  }
+
+  /** We are first in line to hold machines, perhaps at once: where they are is looked up ahead. */
+  void prefetchEndpoints(boolean takeoverImminent) {
+    standbyUntilMs = cluster.now() + 2 * Constants.SUPPLY_MS;
+    takeoverImminentUntilMs = takeoverImminent ? standbyUntilMs : takeoverImminentUntilMs;
+    if (takeoverImminent) {
+      cloud.setRate(cluster.settings.cloudRps() * cloudRateFraction());
+    }
+    machineList.prefetchEndpoints(takeoverImminent);
+  }
+
+  /** Machines of ours that do not serve, as of the last second. */
+  List<String> silentMachines() {
+    return silentMachines;
+  }
+
+  void ownerTick() {
+    silentMachines = provisioner.silentMachines();
+    provisioner.refreshSilentOnPeers();
+    cloud.setRate(cluster.settings.cloudRps() * cloudRateFraction());
+    if (cluster.feed.stalenessMs() > Constants.STALE_MS || cluster.ownedShards.isEmpty()) {
+      return;
+    }
+    releaser.tick();
+    consolidation.tick();
+  }
+
+  /**
+   * Our part of the cloud's rate. Who has just taken machines over and does not lead yet must look
+   * up where they are at once, and so must who is about to; the next in line looks them up now and
+   * then, the others want next to nothing.
+   */
+  private double cloudRateFraction() {
+    List<String> shards = membership.leasedShards();
+    long ownedCount = shards.stream().filter(cluster::owns).count();
+    if (membership.isLeader()) {
+      return ownedCount == shards.size() ? Constants.CLOUD_ALL_PART : Constants.CLOUD_HALF_PART;
+    }
+    if (ownedCount > 0) {
+      return Constants.CLOUD_HALF_PART * ownedCount / shards.size();
+    }
+    if (cluster.now() < takeoverImminentUntilMs) {
+      return Constants.CLOUD_HALF_PART;
+    }
+    double standbyFraction = 1 - Constants.CLOUD_ALL_PART;
+    return cluster.now() < standbyUntilMs
+        ? standbyFraction
+        : standbyFraction / membership.names().size();
+  }
+}
--- a/src/main/java/dunlincroft/coordination/Cloud.java
+++ b/src/main/java/dunlincroft/coordination/CloudClient.java
@@ -13,27 +13,27 @@
 import org.slf4j.LoggerFactory;
 
 /** The cloud by its protocol, within our part of its rate. Releases go before everything else. */
-final class Cloud {
-  private static final Logger LOG = LoggerFactory.getLogger(Cloud.class);
+final class CloudClient {
+  private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
 
   private record Call(
-      String method, String path, ObjectNode body, BiConsumer<Integer, ObjectNode> then) {}
+      String method, String path, ObjectNode body, BiConsumer<Integer, ObjectNode> onResponse) {}
 
   private final Env env;
   private final String address;
   private final TokenBucket bucket;
   private final ArrayDeque<Call> queue = new ArrayDeque<>();
-  private final Soon pump;
+  private final Soon sendTask;
 
-  Cloud(Env env, String address, double rps) {
+  CloudClient(Env env, String address, double rps) {
     this.env = env;
-    this.pump = new Soon(env, this::pump);
+    this.sendTask = new Soon(env, this::sendQueued);
     this.address = address;
     this.bucket = new TokenBucket(rps, 1, env.nowMillis());
   }
 
   /** Sets our part of the published rate. */
-  void rate(double rps) {
+  void setRate(double rps) {
     bucket.rate(rps * Constants.BUDGET_PART, env.nowMillis());
   }
 
@@ -43,20 +43,20 @@
       String method,
       String path,
       ObjectNode body,
-      BiConsumer<Integer, ObjectNode> then) {
-    Call call = new Call(method, path, body, then);
+      BiConsumer<Integer, ObjectNode> onResponse) {
+    Call call = new Call(method, path, body, onResponse);
     if (urgent) {
       queue.addFirst(call);
     } else {
       queue.addLast(call);
     }
-    pump.in(0);
+    sendTask.in(0);
   }
 
-  private void pump() {
+  private void sendQueued() {
     while (!queue.isEmpty()) {
       if (!bucket.has(1, env.nowMillis())) {
-        pump.in(100);
+        sendTask.in(100);
         return;
       }
       bucket.consume(1, env.nowMillis());
@@ -79,7 +79,7 @@
                 status = 0;
               }
             }
-            call.then.accept(status, body);
+            call.onResponse.accept(status, body);
           });
     }
   }
--- a/src/main/java/dunlincroft/coordination/ClusterState.java
+++ b/src/main/java/dunlincroft/coordination/ClusterState.java
@@ -172,7 +172,7 @@
       endpoints.remove(host);
     }
     if (block == null || !owns(block.record().shard())) {
-      if (known != null && known.blockStamp > 0 && known.placed.isEmpty()) {
+      if (known != null && known.blockStamp > 0 && known.placements.isEmpty()) {
         remove(known);
       }
       return;
@@ -195,7 +195,7 @@
               record.blockClass().lendable(),
               record.hosts().get(host),
               now());
-      known.type = machineTypes.get(known.flavour);
+      known.type = machineTypes.get(known.typeLabel);
       known.endpoint = endpoints.get(host);
       machines.put(host, known);
       ringStale = true;
@@ -280,7 +280,7 @@
     Map<String, MachineType> byLabel = new Object2ObjectLinkedOpenHashMap<>();
     all.forEach(type -> byLabel.put(type.label(), type));
     machineTypes = byLabel;
-    machines.values().forEach(machine -> machine.type = machineTypes.get(machine.flavour));
+    machines.values().forEach(machine -> machine.type = machineTypes.get(machine.typeLabel));
     placementDue = true;
   }
 
@@ -381,8 +381,8 @@
 
   /** Whether the job and the operators' policy allow its tasks on a machine. */
   boolean allows(JobRun job, Machine machine) {
-    return job.spec.allows(machine.flavour, machine.hall, machine.lendable)
-        && (!machine.lendable || allowsSpot(job));
+    return job.spec.allows(machine.typeLabel, machine.zone, machine.preemptible)
+        && (!machine.preemptible || allowsSpot(job));
   }
 
   /**
@@ -392,15 +392,17 @@
    * is a spot machine.
    */
   long reservedCpu(Machine machine, boolean prod) {
-    if (machine.keptFor != machine.type) {
-      machine.keptFor = machine.type;
+    if (machine.reservedCpuType != machine.type) {
+      machine.reservedCpuType = machine.type;
       double cpu = machine.type.room().cpu();
-      double bound = policy.bound(machine.type, machine.hall, machine.lendable);
-      double reserve = policy.reserve(machine.type, machine.hall, machine.lendable);
-      machine.keptAlways = (long) (cpu * (1 - bound));
-      machine.keptForServices = (long) (cpu * (1 - bound + reserve));
+      double bound = policy.bound(machine.type, machine.zone, machine.preemptible);
+      double reserve = policy.reserve(machine.type, machine.zone, machine.preemptible);
+      machine.baseReservedCpu = (long) (cpu * (1 - bound));
+      machine.reservedCpuWithServices = (long) (cpu * (1 - bound + reserve));
     }
-    return prod || !machine.hasDaemon() ? machine.keptAlways : machine.keptForServices;
+    return prod || !machine.hasService()
+        ? machine.baseReservedCpu
+        : machine.reservedCpuWithServices;
   }
 
   /** Milliseconds of silence in which a worker misses the given number of reports. */
@@ -426,7 +428,7 @@
    * costly.
    */
   boolean isUsable(Machine machine, long nowMs) {
-    return machine.usable(nowMs, reportIntervalsMs(Constants.SUSPECT_REPORTS));
+    return machine.isUsable(nowMs, reportIntervalsMs(Constants.SUSPECT_REPORTS));
   }
 
   // ---- teams ----
--- a/src/main/java/dunlincroft/coordination/Consolidation.java
+++ b/src/main/java/dunlincroft/coordination/Consolidation.java
@@ -21,93 +21,102 @@
   /** Why such a machine drains. */
   static final String SURPLUS = "surplus";
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final DirectCommands commands;
   private final Demand demand;
-  private final Renting renting;
-  private long nextConsolidation;
+  private final MachineProvisioner provisioner;
+  private long nextConsolidationMs;
 
-  Consolidation(ClusterState world, DirectCommands commands, Demand demand, Renting renting) {
-    this.world = world;
+  Consolidation(
+      ClusterState cluster,
+      DirectCommands commands,
+      Demand demand,
+      MachineProvisioner provisioner) {
+    this.cluster = cluster;
     this.commands = commands;
     this.demand = demand;
-    this.renting = renting;
+    this.provisioner = provisioner;
   }
 
   /** Empties and returns what is not needed, the dearest kind first. */
   void tick() {
     Map<String, Demand.MachineDemand> needs = demand.smoothedDemand();
-    Set<String> countedOn = renting.replicas().reservedHosts();
-    for (MachineType type : world.machineTypes.values()) {
+    Set<String> neededHosts = provisioner.assessReplicas().reservedHosts();
+    for (MachineType type : cluster.machineTypes.values()) {
       Demand.MachineDemand need = needs.getOrDefault(type.label(), new Demand.MachineDemand());
-      Renting.Have have = renting.have(type.label());
+      MachineProvisioner.MachineCounts counts = provisioner.countMachines(type.label());
       List<Machine> draining = new ArrayList<>();
       List<Machine> spare = new ArrayList<>();
-      int ours = 0;
-      for (Machine machine : world.machines.values()) {
-        if (!type.label().equals(machine.flavour)) {
+      int ownedCount = 0;
+      for (Machine machine : cluster.machines.values()) {
+        if (!type.label().equals(machine.typeLabel)) {
           continue;
         }
-        ours += machine.blockStamp > 0 ? 1 : 0;
-        if (countedOn.contains(machine.host)) {
-          keep(machine);
-        } else if (SURPLUS.equals(machine.draining)) {
+        ownedCount += machine.blockStamp > 0 ? 1 : 0;
+        if (neededHosts.contains(machine.host)) {
+          keepForReplica(machine);
+        } else if (SURPLUS.equals(machine.drainReason)) {
           draining.add(machine);
-        } else if (machine.draining == null
-            && machine.moveTo == null
+        } else if (machine.drainReason == null
+            && machine.targetShard == null
             && machine.session.hasReported()
-            && !machine.hasDaemon()) {
+            && !machine.hasService()) {
           spare.add(machine);
         }
       }
-      long dear = draining.stream().filter(machine -> !machine.lendable).count();
+      long onDemandDraining = draining.stream().filter(machine -> !machine.preemptible).count();
       // Several holders see the same surplus: each returns its part of it.
-      double part = (double) ours / Math.max(1, have.blocks());
-      int overAll =
+      double ownedFraction = (double) ownedCount / Math.max(1, counts.leasedCount());
+      int excess =
           (int)
-                  ((have.ordinary()
-                          + have.cheap()
+                  ((counts.onDemandCount()
+                          + counts.preemptibleCount()
                           - demand.onDemandTarget(type, need)
                           - need.preemptible)
-                      * part)
+                      * ownedFraction)
               - draining.size();
-      double dearOver = (have.ordinary() - demand.onDemandTarget(type, need)) * part - dear;
-      int overDear = (int) dearOver;
-      if (overAll < 0) {
+      double onDemandExcess =
+          (counts.onDemandCount() - demand.onDemandTarget(type, need)) * ownedFraction
+              - onDemandDraining;
+      int onDemandToDrain = (int) onDemandExcess;
+      if (excess < 0) {
         draining.stream()
             .filter(machine -> machine.lifecycle == MachineLifecycle.IN_USE)
-            .limit(-overAll)
+            .limit(-excess)
             .forEach(
                 machine -> {
-                  machine.draining = null;
-                  world.placementDue = true;
+                  machine.drainReason = null;
+                  cluster.placementDue = true;
                 });
         continue;
       }
       spare.sort(
-          Comparator.comparing((Machine m) -> m.lendable).thenComparingLong(m -> m.used().cpu()));
+          Comparator.comparing((Machine m) -> m.preemptible)
+              .thenComparingLong(m -> m.used().cpu()));
       for (Machine machine : spare) {
-        if (overAll < 1 || (!machine.lendable && overDear < 1)) {
+        if (excess < 1 || (!machine.preemptible && onDemandToDrain < 1)) {
           continue;
         }
-        overAll--;
-        overDear -= machine.lendable ? 0 : 1;
+        excess--;
+        onDemandToDrain -= machine.preemptible ? 0 : 1;
         LOG.info("host {} is not needed: draining", machine.host);
-        machine.draining = SURPLUS;
+        machine.drainReason = SURPLUS;
       }
-      boolean dearest = spare.stream().allMatch(machine -> machine.lendable);
-      if (dearest && overAll >= 1 && dearOver >= Constants.CONSOLIDATE_OVER) {
+      boolean noSpareOnDemand = spare.stream().allMatch(machine -> machine.preemptible);
+      if (noSpareOnDemand && excess >= 1 && onDemandExcess >= Constants.CONSOLIDATE_OVER) {
         consolidate(type);
       }
     }
-    world.machines.values().stream().filter(m -> SURPLUS.equals(m.draining)).forEach(this::clear);
+    cluster.machines.values().stream()
+        .filter(m -> SURPLUS.equals(m.drainReason))
+        .forEach(this::evictLastTasks);
   }
 
   /** A replica waits that has room there: the machine is needed, whatever the numbers say. */
-  private void keep(Machine machine) {
-    if (SURPLUS.equals(machine.draining) && machine.lifecycle == MachineLifecycle.IN_USE) {
-      machine.draining = null;
-      world.placementDue = true;
+  private void keepForReplica(Machine machine) {
+    if (SURPLUS.equals(machine.drainReason) && machine.lifecycle == MachineLifecycle.IN_USE) {
+      machine.drainReason = null;
+      cluster.placementDue = true;
     }
   }
 
@@ -115,33 +124,36 @@
    * The last tasks on a machine that is not needed move if all of them lose next to nothing: they
    * run for minutes, and each keeps a machine that is paid for whole.
    */
-  private void clear(Machine machine) {
-    if (!machine.placed.isEmpty()
-        && paid(machine)
-        && machine.placed.values().stream().allMatch(p -> saves(p) && movable(p))) {
+  private void evictLastTasks(Machine machine) {
+    if (!machine.placements.isEmpty()
+        && isPastMinimumBilling(machine)
+        && machine.placements.values().stream()
+            .allMatch(placement -> takesSnapshots(placement) && isMovable(placement))) {
       LOG.info(
-          "host {} is not needed: its {} tasks save and move", machine.host, machine.placed.size());
-      move(machine);
+          "host {} is not needed: its {} tasks save and move",
+          machine.host,
+          machine.placements.size());
+      evictAll(machine);
     }
   }
 
   /** Stops the tasks of a machine that drains: they wait again as soon as they are off it. */
-  private void move(Machine machine) {
-    for (Placement p : machine.placed.values()) {
-      p.job.halt(p);
-      world.metrics.count(Figures.Event.MOVE);
+  private void evictAll(Machine machine) {
+    for (Placement placement : machine.placements.values()) {
+      placement.job.halt(placement);
+      cluster.metrics.count(Figures.Event.MOVE);
     }
     commands.push(machine);
   }
 
-  private static boolean saves(Placement p) {
-    return p.job.spec.snapshotS() > 0;
+  private static boolean takesSnapshots(Placement placement) {
+    return placement.job.spec.snapshotS() > 0;
   }
 
-  private boolean movable(Placement p) {
-    return Wire.RUNNING.equals(p.reportedStatus)
-        && world.now() - p.placedAtMs > Constants.MOVE_AFTER_MS
-        && !p.stopRequested;
+  private boolean isMovable(Placement placement) {
+    return Wire.RUNNING.equals(placement.reportedStatus)
+        && cluster.now() - placement.placedAtMs > Constants.MOVE_AFTER_MS
+        && !placement.stopRequested;
   }
 
   /**
@@ -150,13 +162,15 @@
    * its image there, so that it is away for a moment only. One machine at a time.
    */
   private void consolidate(MachineType type) {
-    if (world.now() < nextConsolidation) {
+    if (cluster.now() < nextConsolidationMs) {
       return;
     }
-    world.machines.values().stream()
-        .filter(machine -> machine.flavour.equals(type.label()) && !machine.lendable)
-        .filter(machine -> world.isUsable(machine) && machine.hasDaemon() && paid(machine))
-        .filter(machine -> machine.placed.values().stream().allMatch(this::movable))
+    cluster.machines.values().stream()
+        .filter(machine -> machine.typeLabel.equals(type.label()) && !machine.preemptible)
+        .filter(
+            machine ->
+                cluster.isUsable(machine) && machine.hasService() && isPastMinimumBilling(machine))
+        .filter(machine -> machine.placements.values().stream().allMatch(this::isMovable))
         .filter(this::fitsElsewhere)
         .min(Comparator.comparingLong(machine -> machine.used().cpu()))
         .ifPresent(
@@ -164,44 +178,47 @@
               LOG.info(
                   "host {} is not needed: its {} tasks move to machines with room",
                   machine.host,
-                  machine.placed.size());
-              nextConsolidation = world.now() + Constants.CONSOLIDATE_MS;
-              machine.draining = SURPLUS;
-              move(machine);
+                  machine.placements.size());
+              nextConsolidationMs = cluster.now() + Constants.CONSOLIDATE_MS;
+              machine.drainReason = SURPLUS;
+              evictAll(machine);
             });
   }
 
   private boolean fitsElsewhere(Machine machine) {
     Map<Machine, Room> free = new HashMap<>();
-    for (Placement p : machine.placed.values()) {
-      JobSpec spec = p.job.spec;
-      if (!spec.daemon() && !saves(p)) {
+    for (Placement placement : machine.placements.values()) {
+      JobSpec spec = placement.job.spec;
+      if (!spec.daemon() && !takesSnapshots(placement)) {
         return false;
       }
-      Machine to =
-          world.machines.values().stream()
+      Machine target =
+          cluster.machines.values().stream()
               .filter(other -> other != machine && other.shard.equals(machine.shard))
-              .filter(other -> world.isUsable(other) && world.allows(p.job, other))
-              .filter(other -> p.job.sides == null)
-              .filter(other -> !spec.daemon() || other.warmth(spec.bundle()) == Machine.Warmth.WARM)
-              .filter(other -> !spec.daemon() || other.leavesRoomForAZone(spec.room()))
+              .filter(other -> cluster.isUsable(other) && cluster.allows(placement.job, other))
+              .filter(other -> placement.job.sides == null)
               .filter(
                   other ->
-                      other.hall.equals(machine.hall)
-                          || p.job.perZone.getInt(other.hall) < spec.zoneMost())
+                      !spec.daemon()
+                          || other.imageState(spec.bundle()) == Machine.ImageState.CACHED)
+              .filter(other -> !spec.daemon() || other.leavesZoneFailoverCapacity(spec.room()))
+              .filter(
+                  other ->
+                      other.zone.equals(machine.zone)
+                          || placement.job.perZone.getInt(other.zone) < spec.zoneMost())
               .filter(other -> spec.room().fits(free.getOrDefault(other, other.free())))
               .findFirst()
               .orElse(null);
-      if (to == null) {
+      if (target == null) {
         return false;
       }
-      free.put(to, free.getOrDefault(to, to.free()).minus(spec.room()));
+      free.put(target, free.getOrDefault(target, target.free()).minus(spec.room()));
     }
     return true;
   }
 
   /** Whether the time is over that costs as much when the machine is returned. */
-  boolean paid(Machine machine) {
-    return world.env.wallMillis() - machine.hiredAtWall >= Constants.PAID_MS;
+  boolean isPastMinimumBilling(Machine machine) {
+    return cluster.env.wallMillis() - machine.rentedAtWallMs >= Constants.PAID_MS;
   }
 }
--- a/src/main/java/dunlincroft/coordination/Controller.java
+++ b/src/main/java/dunlincroft/coordination/Controller.java
@@ -40,7 +40,7 @@
   private final HeartbeatRouter heartbeats;
   private final StandIn proxyOwner;
   private final Scheduler scheduler;
-  private final Supply autoscaler;
+  private final Autoscaler autoscaler;
   private final Handover handover;
   private final JobDesk jobService;
   private final Figures metrics;
@@ -73,8 +73,8 @@
             new NodeContext(settings, env, store, replica, cluster.feed), new ShardCallbacks());
     proxyOwner = new StandIn(cluster, membership);
     scheduler = new Scheduler(cluster, placementLog, startConditions);
-    Cloud cloud =
-        new Cloud(
+    CloudClient cloud =
+        new CloudClient(
             env,
             settings.cloud(),
             settings.cloudRps() * Constants.BUDGET_PART / membership.names().size());
@@ -82,7 +82,7 @@
     MachineDiscovery discovery = new MachineDiscovery(cluster, membership, demand);
     heartbeats = new HeartbeatRouter(cluster, membership, workerProtocol, discovery, proxyOwner);
     autoscaler =
-        new Supply(cluster, membership, workerProtocol, placementLog, cloud, demand, discovery);
+        new Autoscaler(cluster, membership, workerProtocol, placementLog, cloud, demand, discovery);
     handover = new Handover(cluster, membership, demand);
     jobService = new JobDesk(cluster, membership);
     replica.setListener(this::onRecordChanged);
@@ -183,10 +183,10 @@
       cluster.machines.values().stream()
           .filter(machine -> !machine.session.hasReported())
           .sorted(
-              Comparator.comparing((Machine machine) -> !machine.hasDaemon())
-                  .thenComparing(machine -> machine.placed.isEmpty()))
+              Comparator.comparing((Machine machine) -> !machine.hasService())
+                  .thenComparing(machine -> machine.placements.isEmpty()))
           .forEach(workerProtocol.probe::probe);
-      autoscaler.findMachines();
+      autoscaler.locateMachines();
     }
 
     @Override
@@ -196,7 +196,7 @@
 
     @Override
     public void prepareTakeover(boolean suspected) {
-      autoscaler.lookAhead(suspected);
+      autoscaler.prefetchEndpoints(suspected);
     }
 
     @Override
@@ -249,7 +249,7 @@
     tasks.every(slowPeriodMs, "membership", now -> membership.tick());
     tasks.every(slowPeriodMs, "admission", this::tickAdmission);
     tasks.every(slowPeriodMs, "answer waiting heartbeats", now -> heartbeats.answerWaiting());
-    tasks.every(slowPeriodMs, "machine types", now -> autoscaler.typesTick());
+    tasks.every(slowPeriodMs, "machine types", now -> autoscaler.refreshTypes());
     tasks.every(slowPeriodMs, "leases and conditions, as the leader", now -> runLeaderDuties());
     tasks.every(
         slowPeriodMs,
@@ -257,7 +257,7 @@
         now -> schedulePush(startConditions.stopEnded()));
     tasks.every(
         Constants.SUPPLY_MS, "machine provisioning, as the leader", now -> runLeaderScaling());
-    tasks.every(Constants.SUPPLY_MS, "machines, as the owner", now -> autoscaler.holderTick());
+    tasks.every(Constants.SUPPLY_MS, "machines, as the owner", now -> autoscaler.ownerTick());
     tasks.every(Constants.SUPPLY_MS, "handover", now -> runHandover());
     tasks.every(Constants.SUPPLY_MS, "placement due", now -> cluster.placementDue = true);
     tasks.everyTick("placement", this::runRoundIfDue);
--- a/src/main/java/dunlincroft/coordination/DirectCommands.java
+++ b/src/main/java/dunlincroft/coordination/DirectCommands.java
@@ -15,14 +15,14 @@
 final class DirectCommands {
   private static final Logger LOG = LoggerFactory.getLogger(DirectCommands.class);
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final WorkerOrders workerOrders;
   private final AnswerHandler answers;
   private final MachineProbe probe;
 
   DirectCommands(
-      ClusterState world, WorkerOrders workerOrders, AnswerHandler answers, MachineProbe probe) {
-    this.world = world;
+      ClusterState cluster, WorkerOrders workerOrders, AnswerHandler answers, MachineProbe probe) {
+    this.cluster = cluster;
     this.workerOrders = workerOrders;
     this.answers = answers;
     this.probe = probe;
@@ -30,70 +30,71 @@
 
   /** Sends orders straight to the worker, one call at a time; the hello lane is the fallback. */
   void push(Machine machine) {
-    if (machine.session.commandOut()) {
-      machine.pushAgain = true;
+    if (machine.session.isCommandInFlight()) {
+      machine.isPushPending = true;
       return;
     }
     // One that did not answer is left to its hellos until it is heard again.
     if (!machine.session.hasReported()
-        || machine.session.lostCommandSinceHeard()
+        || machine.session.hasAbandonedCommandSinceHeard()
         || machine.endpoint == null) {
       return;
     }
-    long fence = world.fenceToken(machine);
+    long fence = cluster.fenceToken(machine);
     List<Order> orders = workerOrders.forMachine(machine, fence, true);
-    if (orders.stream().allMatch(DirectCommands::canWait) && machine.session.fenceSeen() >= fence) {
+    if (orders.stream().allMatch(DirectCommands::isDeferrable)
+        && machine.session.fenceSeen() >= fence) {
       return;
     }
-    machine.session.onCommand(true);
-    ObjectNode body = Order.body(fence, orders).put("tenure", machine.session.tenure());
-    AnswerHandler.Known known = AnswerHandler.Known.of(machine);
-    world.env.call(
+    machine.session.setCommandInFlight(true);
+    ObjectNode body = Order.body(fence, orders).put("tenure", machine.session.sessionNumber());
+    AnswerHandler.Known lastReport = AnswerHandler.Known.of(machine);
+    cluster.env.call(
         new Env.Call(
             machine.endpoint, "POST", Wire.COMMANDS, Cbor.bytes(body), Constants.WORKER_CALL_MS),
-        reply -> pushed(machine, fence, known, reply));
+        reply -> onReply(machine, fence, lastReport, reply));
   }
 
   /** What has ended may stay in the reports until the next one: no call is worth it. */
-  private static boolean canWait(Order order) {
+  private static boolean isDeferrable(Order order) {
     return order.verb().equals(Wire.REAP);
   }
 
-  private void pushed(Machine machine, long fence, AnswerHandler.Known known, Reply reply) {
-    machine.session.onCommand(false);
-    boolean again = machine.pushAgain;
-    machine.pushAgain = false;
+  private void onReply(Machine machine, long fence, AnswerHandler.Known lastReport, Reply reply) {
+    machine.session.setCommandInFlight(false);
+    boolean pushRequested = machine.isPushPending;
+    machine.isPushPending = false;
     if (reply.status() != 200 && reply.status() != 409) {
       if (reply.left()) {
         // It may be executed minutes from now, as long as the fence stays.
         machine.session.onUnresolvedCommand(fence);
-        if (world.machines.get(machine.host) == machine) {
-          probe.unsure(machine);
+        if (cluster.machines.get(machine.host) == machine) {
+          probe.suspectMissedAnswer(machine);
         }
       }
-      machine.session.onCommandLost(world.now());
+      machine.session.onCommandAbandoned(cluster.now());
       LOG.info("host {} did not answer direct orders ({})", machine.host, reply.status());
       return;
     }
-    if (world.machines.get(machine.host) != machine) {
+    if (cluster.machines.get(machine.host) != machine) {
       return;
     }
-    if (!answers.take(machine, known, reply)) {
+    if (!answers.take(machine, lastReport, reply)) {
       return;
     }
-    if (reply.status() == 200 || again) {
-      boolean more =
-          again
-              || !workerOrders.forMachine(machine, world.fenceToken(machine), true).stream()
-                  .allMatch(DirectCommands::canWait);
-      if (more) {
-        world.env.after(Constants.PLACE_MS, () -> pushIfKnown(machine));
+    if (reply.status() == 200 || pushRequested) {
+      boolean hasMore =
+          pushRequested
+              || !workerOrders.forMachine(machine, cluster.fenceToken(machine), true).stream()
+                  .allMatch(DirectCommands::isDeferrable);
+      if (hasMore) {
+        cluster.env.after(Constants.PLACE_MS, () -> pushIfOwned(machine));
       }
     }
   }
 
-  private void pushIfKnown(Machine machine) {
-    if (world.machines.get(machine.host) == machine) {
+  private void pushIfOwned(Machine machine) {
+    if (cluster.machines.get(machine.host) == machine) {
       push(machine);
     }
   }
--- a/src/main/java/dunlincroft/coordination/FaultAttribution.java
+++ b/src/main/java/dunlincroft/coordination/FaultAttribution.java
@@ -8,18 +8,19 @@
 final class FaultAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
-  private final ClusterState world;
-  private final Ledger ledger;
+  private final ClusterState cluster;
+  private final Ledger placementLog;
 
-  FaultAttribution(ClusterState world, Ledger ledger) {
-    this.world = world;
-    this.ledger = ledger;
+  FaultAttribution(ClusterState cluster, Ledger placementLog) {
+    this.cluster = cluster;
+    this.placementLog = placementLog;
   }
 
-  void ranWell(Placement p) {
-    if (p.job.ranWell()) {
-      LOG.info("job {} runs on host {}: it is not faulty", p.job.id, p.machine.host);
-      ledger.dirty(p.job, p.task, false);
+  void onRanWell(Placement placement) {
+    if (placement.job.ranWell()) {
+      LOG.info(
+          "job {} runs on host {}: it is not faulty", placement.job.id, placement.machine.host);
+      placementLog.dirty(placement.job, placement.task, false);
     }
   }
 
@@ -28,11 +29,11 @@
    * its tasks. One that has not run yet may fail everywhere, many tasks at once: all of them say no
    * more than one, and only so many such jobs together speak against the machine.
    */
-  void failed(Machine machine, Placement p) {
-    JobRun job = p.job;
+  void onFailure(Machine machine, Placement placement) {
+    JobRun job = placement.job;
     boolean wasFaulty = job.faulty;
-    if (job.failed(machine.host, world.now())) {
-      machine.failures++;
+    if (job.failed(machine.host, cluster.now())) {
+      machine.consecutiveFailures++;
     }
     if (job.faulty) {
       machine.failedJobs.remove(job.id);
@@ -44,26 +45,27 @@
           "job {} has failed on {} machines and run on none: one task at a time from here on",
           job.id,
           Constants.JOB_FAULTY_AFTER);
-      world.machines.values().forEach(other -> other.failedJobs.remove(job.id));
+      cluster.machines.values().forEach(other -> other.failedJobs.remove(job.id));
     }
-    boolean sick =
-        machine.failures >= Constants.SICK_AFTER
+    boolean isMachineFaulty =
+        machine.consecutiveFailures >= Constants.SICK_AFTER
             || machine.failedJobs.size() >= Constants.SICK_AFTER;
-    if (sick && machine.draining == null && sickAllowed()) {
+    if (isMachineFaulty && machine.drainReason == null && canDrainFaulty()) {
       LOG.info(
           "host {} failed {} tasks of jobs that ran elsewhere, and {} jobs in all, in a row: taken"
               + " for sick, draining",
           machine.host,
-          machine.failures,
+          machine.consecutiveFailures,
           machine.failedJobs.size());
-      machine.draining = "sick";
-      machine.placed.values().forEach(other -> other.job.halt(other));
+      machine.drainReason = "sick";
+      machine.placements.values().forEach(other -> other.job.halt(other));
     }
   }
 
   /** A wrong guess must do no harm: at most an eighth of the machines are replaced at a time. */
-  private boolean sickAllowed() {
-    long sick = world.machines.values().stream().filter(m -> "sick".equals(m.draining)).count();
-    return sick < Math.max(1, world.machines.size() / 8);
+  private boolean canDrainFaulty() {
+    long faultyMachines =
+        cluster.machines.values().stream().filter(m -> "sick".equals(m.drainReason)).count();
+    return faultyMachines < Math.max(1, cluster.machines.size() / 8);
   }
 }
--- a/src/main/java/dunlincroft/coordination/FenceRaiser.java
+++ b/src/main/java/dunlincroft/coordination/FenceRaiser.java
@@ -12,30 +12,30 @@
 final class FenceRaiser {
   private static final Logger LOG = LoggerFactory.getLogger(FenceRaiser.class);
 
-  private final ClusterState world;
+  private final ClusterState cluster;
 
-  FenceRaiser(ClusterState world) {
-    this.world = world;
+  FenceRaiser(ClusterState cluster) {
+    this.cluster = cluster;
   }
 
   /** Rewrites the block's key: commands still in flight under the older fence become void. */
   void raise(Machine machine) {
-    BlockIndex.Block block = world.blocks.blockOf(machine.host);
-    if (machine.raising || block == null) {
+    BlockIndex.Block block = cluster.blocks.blockOf(machine.host);
+    if (machine.isRaisingFence || block == null) {
       return;
     }
-    machine.raising = true;
+    machine.isRaisingFence = true;
     Txn txn =
         new Txn()
             .guard(
-                Wire.key(Replica.SHARDS, machine.shard), world.ownedShards.getLong(machine.shard))
+                Wire.key(Replica.SHARDS, machine.shard), cluster.ownedShards.getLong(machine.shard))
             .guard(Wire.key(Replica.BLOCKS, block.name()), block.stamp())
             .put(Wire.key(Replica.BLOCKS, block.name()), block.record().toNode());
-    world.store.commit(
+    cluster.store.commit(
         Urgency.CANCEL,
         txn,
         result -> {
-          machine.raising = false;
+          machine.isRaisingFence = false;
           LOG.info("fence of host {} raised: {}", machine.host, result.outcome());
         });
   }
@@ -44,9 +44,9 @@
    * A worker whose machine we hold has seen a fence above ours: a stand-in answered it while the
    * state service was down, and only a newer stamp is above that.
    */
-  void outbid(String host, long fence) {
-    Machine machine = world.machines.get(host);
-    if (machine != null && world.owns(machine.shard) && world.fenceToken(machine) < fence) {
+  void raiseAbove(String host, long fence) {
+    Machine machine = cluster.machines.get(host);
+    if (machine != null && cluster.owns(machine.shard) && cluster.fenceToken(machine) < fence) {
       raise(machine);
     }
   }
--- a/src/main/java/dunlincroft/coordination/Handover.java
+++ b/src/main/java/dunlincroft/coordination/Handover.java
@@ -7,23 +7,23 @@
 
 /** What owners of shards give to each other while several shards have machines, or had them. */
 final class Handover {
-  private final ClusterState world;
-  private final Membership members;
+  private final ClusterState cluster;
+  private final Membership membership;
   private final MachineHandover machines;
   private final ShareHandover shares;
 
-  Handover(ClusterState world, Membership members, Demand demand) {
-    this.world = world;
-    this.members = members;
-    HandoverWriter writer = new HandoverWriter(world);
-    machines = new MachineHandover(world, members, demand, writer);
-    shares = new ShareHandover(world, demand, writer);
+  Handover(ClusterState cluster, Membership membership, Demand demand) {
+    this.cluster = cluster;
+    this.membership = membership;
+    HandoverWriter writer = new HandoverWriter(cluster);
+    machines = new MachineHandover(cluster, membership, demand, writer);
+    shares = new ShareHandover(cluster, demand, writer);
   }
 
   void tick() {
-    Set<String> shards = new HashSet<>(members.leasedShards());
-    world.blocks.all().forEach(block -> shards.add(block.record().shard()));
-    world
+    Set<String> shards = new HashSet<>(membership.leasedShards());
+    cluster.blocks.all().forEach(block -> shards.add(block.record().shard()));
+    cluster
         .replica
         .items(Replica.SHARES)
         .values()
@@ -31,8 +31,8 @@
     if (shards.size() < 2) {
       return;
     }
-    RecordedCapacity room = new RecordedCapacity(world);
-    machines.tick(room);
-    shares.tick(shards.size(), room);
+    RecordedCapacity capacity = new RecordedCapacity(cluster);
+    machines.tick(capacity);
+    shares.tick(shards.size(), capacity);
   }
 }
--- a/src/main/java/dunlincroft/coordination/HandoverWriter.java
+++ b/src/main/java/dunlincroft/coordination/HandoverWriter.java
@@ -14,54 +14,56 @@
 final class HandoverWriter {
   private static final Logger LOG = LoggerFactory.getLogger(HandoverWriter.class);
 
-  private final ClusterState world;
+  private final ClusterState cluster;
 
-  HandoverWriter(ClusterState world) {
-    this.world = world;
+  HandoverWriter(ClusterState cluster) {
+    this.cluster = cluster;
   }
 
   /**
    * Writes one handover.
    *
-   * @param what the handover, as operators read it in the log
-   * @param then runs once the outcome is certain, whatever it is
+   * @param description the handover, as operators read it in the log
+   * @param onSettled runs once the outcome is certain, whatever it is
    */
-  void commit(Txn txn, String what, Runnable then) {
-    commit(txn, false, what, then);
+  void commit(Txn txn, String description, Runnable onSettled) {
+    commit(txn, false, description, onSettled);
   }
 
-  private void commit(Txn txn, boolean doubt, String what, Runnable then) {
-    world.store.commit(
+  private void commit(Txn txn, boolean wasUncertain, String description, Runnable onSettled) {
+    cluster.store.commit(
         Urgency.HANDS,
         txn,
         result -> {
           switch (result.outcome()) {
             case OK -> {
-              LOG.info("handed over: {}", what);
-              world.metrics.count(Figures.Event.HANDOVER);
-              then.run();
+              LOG.info("handed over: {}", description);
+              cluster.metrics.count(Figures.Event.HANDOVER);
+              onSettled.run();
             }
-            case CONFLICT -> awaitReplica(what, then);
+            case CONFLICT -> awaitReplica(description, onSettled);
             default -> {
-              boolean open = doubt || result.outcome() == Txn.Outcome.UNKNOWN;
-              if (open) {
-                world.env.after(Constants.HANDOVER_RETRY_MS, () -> commit(txn, true, what, then));
+              boolean isUncertain = wasUncertain || result.outcome() == Txn.Outcome.UNKNOWN;
+              if (isUncertain) {
+                cluster.env.after(
+                    Constants.HANDOVER_RETRY_MS, () -> commit(txn, true, description, onSettled));
               } else {
-                then.run();
+                onSettled.run();
               }
             }
           }
         });
   }
 
-  private void awaitReplica(String what, Runnable then) {
-    world.feed.barrier(
+  private void awaitReplica(String description, Runnable onSettled) {
+    cluster.feed.barrier(
         ok -> {
           if (ok) {
-            LOG.info("not handed over, or with an answer lost: {}", what);
-            then.run();
+            LOG.info("not handed over, or with an answer lost: {}", description);
+            onSettled.run();
           } else {
-            world.env.after(Constants.HANDOVER_RETRY_MS, () -> awaitReplica(what, then));
+            cluster.env.after(
+                Constants.HANDOVER_RETRY_MS, () -> awaitReplica(description, onSettled));
           }
         });
   }
--- a/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
@@ -53,16 +53,16 @@
       return Order.body(fence, List.of());
     }
     boolean sign =
-        machine.session.missedOurAnswer(report, world.now(), world.settings.leaseS() * 1000);
+        machine.session.hasMissedOurAnswer(report, world.now(), world.settings.leaseS() * 1000);
     long heard = machine.session.lastHeardMs();
     // The worker has taken or dropped the answer before: it has one report out at a time. An older
     // report that comes late says nothing about the answer to a newer one.
     boolean starts = machine.session.onAnswerSettled();
     reports.read(machine, report);
-    sign |= starts && machine.placed.values().stream().anyMatch(HeartbeatHandler::notShown);
+    sign |= starts && machine.placements.values().stream().anyMatch(HeartbeatHandler::notShown);
     if (sign) {
       machine.session.discountReport(heard);
-      probe.unsure(machine);
+      probe.suspectMissedAnswer(machine);
     }
     List<Order> orders = workerOrders.forMachine(machine, fence, false);
     boolean starting = orders.stream().anyMatch(order -> order.verb().equals(Wire.RUN));
--- a/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
@@ -72,7 +72,7 @@
         out.send(200, Cbor.bytes(answer), 0);
         return;
       }
-      world.feed.barrier(ok -> fences.outbid(report.host(), report.fence()));
+      world.feed.barrier(ok -> fences.raiseAbove(report.host(), report.fence()));
     }
     if (standIn.answersFor(report, block)) {
       out.send(200, Cbor.bytes(standIn.answer(report)), 0);
@@ -91,7 +91,7 @@
     if (others && since == world.now()) {
       world.endpoints.put(report.host(), report.endpoint());
       if (members.recordRedirect(report.host(), shard)) {
-        StatusQuery.ask(
+        StatusQuery.query(
             world.env,
             report.host(),
             report.endpoint(),
@@ -134,7 +134,7 @@
 
   private void unknown(WorkerReport report, Responder out) {
     if (members.isLeader()) {
-      discovery.reported(report);
+      discovery.onReport(report);
       unavailable(UnavailableCause.NEW_MACHINE, out);
       return;
     }
--- a/src/main/java/dunlincroft/coordination/JobRun.java
+++ b/src/main/java/dunlincroft/coordination/JobRun.java
@@ -203,7 +203,7 @@
     Set<Machine> still = new HashSet<>();
     recorded.forEach(p -> still.add(p.machine));
     placed.values().forEach(p -> still.add(p.machine));
-    hosts.removeIf(machine -> !still.contains(machine) && machine.named.remove(this));
+    hosts.removeIf(machine -> !still.contains(machine) && machine.recordedJobs.remove(this));
   }
 
   /** A task failed on a machine. Returns whether that speaks against the machine. */
@@ -234,7 +234,7 @@
 
   /** The job is over: no record of it names a machine. */
   void forget() {
-    hosts.forEach(machine -> machine.named.remove(this));
+    hosts.forEach(machine -> machine.recordedJobs.remove(this));
   }
 
   int waiting() {
@@ -271,7 +271,8 @@
   }
 
   private boolean has(int wanted, Machine machine) {
-    return sides.contains(wanted, machine.host, machine.flavour, machine.hall, machine.lendable);
+    return sides.contains(
+        wanted, machine.host, machine.typeLabel, machine.zone, machine.preemptible);
   }
 
   /** Marks a placement as one that is to go. */
@@ -320,10 +321,10 @@
     placed.put(p.task, p);
     book(p.task, true);
     busy(p.task, true);
-    perZone.addTo(p.machine.hall, 1);
+    perZone.addTo(p.machine.zone, 1);
     p.machine.add(p);
     hosts.add(p.machine);
-    p.machine.named.add(this);
+    p.machine.recordedJobs.add(this);
   }
 
   /** Takes a placement away: the task is proven not to be on the machine any more. */
@@ -331,7 +332,7 @@
     if (placed.get(p.task) == p) {
       placed.remove(p.task);
       busy(p.task, false);
-      perZone.addTo(p.machine.hall, -1);
+      perZone.addTo(p.machine.zone, -1);
       p.machine.remove(p);
     }
   }
--- a/src/main/java/dunlincroft/coordination/Machine.java
+++ b/src/main/java/dunlincroft/coordination/Machine.java
@@ -14,155 +14,155 @@
 /** A machine of a shard that this node holds. */
 final class Machine {
   /** How soon a task may start, as far as its image is concerned. */
-  enum Warmth {
+  enum ImageState {
     /** The image is there. */
-    WARM,
+    CACHED,
     /** It is being fetched for another task. */
-    COMING,
+    FETCHING,
     /** It would be fetched alone. */
-    COLD,
+    MISSING,
     /** It would share the machine's rate with other fetches, and slow them down. */
-    CROWDED
+    CONTENDED
   }
 
   final String host;
   final String shard;
-  final String flavour;
-  final String hall;
-  final boolean lendable;
-  final long hiredAtWall;
-  final long[] points;
+  final String typeLabel;
+  final String zone;
+  final boolean preemptible;
+  final long rentedAtWallMs;
+  final long[] ringPoints;
   String endpoint;
   MachineType type;
 
   /** Whether some waiting task may have room here, in the present round. */
-  boolean open;
+  boolean isCandidate;
 
   /** What work leaves free here, worked out for this type; see World.kept. */
-  MachineType keptFor;
+  MachineType reservedCpuType;
 
-  long keptAlways;
-  long keptForServices;
+  long baseReservedCpu;
+  long reservedCpuWithServices;
 
   /** Stamp of its block; 0 for a machine that only old records name: it is released, not used. */
   long blockStamp;
 
   final MachineSession session;
   MachineLifecycle lifecycle = MachineLifecycle.IN_USE;
-  List<WorkerReport.Piece> pieces = List.of();
-  final Map<String, Placement> placed = new Object2ObjectLinkedOpenHashMap<>();
+  List<WorkerReport.Piece> reportedTasks = List.of();
+  final Map<String, Placement> placements = new Object2ObjectLinkedOpenHashMap<>();
 
   /** What the placements take, and how many of them are services': kept with every change. */
-  private Room booked = Room.NONE;
+  private Room allocated = Room.NONE;
 
-  private int daemons;
+  private int serviceCount;
 
   /** What the services among them take. */
-  private Room serving = Room.NONE;
+  private Room allocatedToServices = Room.NONE;
 
   /** Images that a task ran from here, as far as this holder saw. */
-  private final Set<String> images = new HashSet<>();
+  private final Set<String> cachedImages = new HashSet<>();
 
   /** Placements by image, and how many of these images are not there yet. */
-  private final Object2IntOpenHashMap<String> byImage = new Object2IntOpenHashMap<>();
+  private final Object2IntOpenHashMap<String> placementsByImage = new Object2IntOpenHashMap<>();
 
-  private int fetching;
+  private int missingImages;
 
   /** Room of tasks that no record names; they are being stopped. */
-  Room orphans = Room.NONE;
+  Room orphanedResources = Room.NONE;
 
-  boolean pushAgain;
-  boolean raising;
+  boolean isPushPending;
+  boolean isRaisingFence;
 
   /** Starts wait until we have read up to its fence. */
-  boolean startsSoon;
+  boolean hasDeferredStarts;
 
   /** Why no new work goes there, or null. */
-  String draining;
+  String drainReason;
 
   /** The shard that gets the block once the machine is empty, or null. */
-  String moveTo;
+  String targetShard;
 
   /** The block's move is asked for, and its outcome not known yet. */
-  boolean moving;
+  boolean isMoving;
 
   /** Jobs whose records may name this machine. */
-  final Set<JobRun> named = new HashSet<>();
+  final Set<JobRun> recordedJobs = new HashSet<>();
 
-  long doubtUntil;
+  long avoidUntilMs;
 
   /** Failures in a row of jobs that ran elsewhere; and all jobs that failed here meanwhile. */
-  int failures;
+  int consecutiveFailures;
 
   final Set<String> failedJobs = new HashSet<>();
-  long idleSince = -1;
+  long idleSinceMs = -1;
 
   Machine(
       String host,
       String shard,
-      String flavour,
-      String hall,
-      boolean lendable,
-      long hiredAtWall,
+      String typeLabel,
+      String zone,
+      boolean preemptible,
+      long rentedAtWallMs,
       long nowMs) {
     this.host = host;
     this.shard = shard;
-    this.flavour = flavour;
-    this.hall = hall;
-    this.lendable = lendable;
-    this.hiredAtWall = hiredAtWall;
-    this.points = Ring.pointsOf(host);
+    this.typeLabel = typeLabel;
+    this.zone = zone;
+    this.preemptible = preemptible;
+    this.rentedAtWallMs = rentedAtWallMs;
+    this.ringPoints = Ring.pointsOf(host);
     this.session = new MachineSession(nowMs);
   }
 
-  void add(Placement p) {
-    placed.put(p.taskName(), p);
-    booked = booked.plus(p.job.spec.room());
-    if (p.job.spec.daemon()) {
-      daemons++;
-      serving = serving.plus(p.job.spec.room());
+  void add(Placement placement) {
+    placements.put(placement.taskName(), placement);
+    allocated = allocated.plus(placement.job.spec.room());
+    if (placement.job.spec.daemon()) {
+      serviceCount++;
+      allocatedToServices = allocatedToServices.plus(placement.job.spec.room());
     }
-    String image = p.job.spec.bundle();
-    if (byImage.addTo(image, 1) == 0 && !images.contains(image)) {
-      fetching++;
+    String image = placement.job.spec.bundle();
+    if (placementsByImage.addTo(image, 1) == 0 && !cachedImages.contains(image)) {
+      missingImages++;
     }
   }
 
-  void remove(Placement p) {
-    if (placed.remove(p.taskName(), p)) {
-      booked = booked.minus(p.job.spec.room());
-      if (p.job.spec.daemon()) {
-        daemons--;
-        serving = serving.minus(p.job.spec.room());
+  void remove(Placement placement) {
+    if (placements.remove(placement.taskName(), placement)) {
+      allocated = allocated.minus(placement.job.spec.room());
+      if (placement.job.spec.daemon()) {
+        serviceCount--;
+        allocatedToServices = allocatedToServices.minus(placement.job.spec.room());
       }
-      String image = p.job.spec.bundle();
-      if (byImage.addTo(image, -1) == 1) {
-        byImage.removeInt(image);
-        fetching -= images.contains(image) ? 0 : 1;
+      String image = placement.job.spec.bundle();
+      if (placementsByImage.addTo(image, -1) == 1) {
+        placementsByImage.removeInt(image);
+        missingImages -= cachedImages.contains(image) ? 0 : 1;
       }
     }
   }
 
   /** A task runs from this image. */
-  void imageThere(String image) {
-    if (images.add(image) && byImage.containsKey(image)) {
-      fetching--;
+  void markImageCached(String image) {
+    if (cachedImages.add(image) && placementsByImage.containsKey(image)) {
+      missingImages--;
     }
   }
 
   /** How far the machine is from having an image, the nearest first. */
-  Warmth warmth(String image) {
-    if (images.contains(image)) {
-      return Warmth.WARM;
+  ImageState imageState(String image) {
+    if (cachedImages.contains(image)) {
+      return ImageState.CACHED;
     }
-    if (byImage.containsKey(image)) {
-      return Warmth.COMING;
+    if (placementsByImage.containsKey(image)) {
+      return ImageState.FETCHING;
     }
-    return fetching == 0 ? Warmth.COLD : Warmth.CROWDED;
+    return missingImages == 0 ? ImageState.MISSING : ImageState.CONTENDED;
   }
 
   Room used() {
-    return booked.plus(orphans);
+    return allocated.plus(orphanedResources);
   }
 
   Room free() {
@@ -170,40 +170,46 @@
   }
 
   /** A look before the exact one: whether so many processors can be free beyond those kept. */
-  boolean mayHave(Room room, long kept) {
-    return type != null && type.room().cpu() - booked.cpu() - orphans.cpu() - kept >= room.cpu();
+  boolean mayFit(Room requested, long reserved) {
+    return type != null
+        && type.room().cpu() - allocated.cpu() - orphanedResources.cpu() - reserved
+            >= requested.cpu();
   }
 
-  boolean empty() {
-    return placed.isEmpty() && pieces.stream().allMatch(WorkerReport.Piece::exited);
+  boolean hasNoTasks() {
+    return placements.isEmpty() && reportedTasks.stream().allMatch(WorkerReport.Piece::exited);
   }
 
   /**
    * Whether one more such replica leaves room for what services of a lost zone would bring: with
    * three zones, a third of the machine, which other work may use until then.
    */
-  boolean leavesRoomForAZone(Room replica) {
-    int zones = type.halls().size();
-    return zones < 2 || serving.plus(replica).times(zones).fits(type.room().times(zones - 1));
+  boolean leavesZoneFailoverCapacity(Room replica) {
+    int zoneCount = type.halls().size();
+    return zoneCount < 2
+        || allocatedToServices
+            .plus(replica)
+            .times(zoneCount)
+            .fits(type.room().times(zoneCount - 1));
   }
 
-  boolean hasDaemon() {
-    return daemons > 0;
+  boolean hasService() {
+    return serviceCount > 0;
   }
 
   BlockClass blockClass() {
-    return new BlockClass(flavour, hall, lendable);
+    return new BlockClass(typeLabel, zone, preemptible);
   }
 
-  boolean usable(long nowMs, long suspectMs) {
-    return session.hears()
+  boolean isUsable(long nowMs, long suspectAfterMs) {
+    return session.isReachable()
         && lifecycle == MachineLifecycle.IN_USE
         && type != null
         && blockStamp > 0
-        && draining == null
-        && moveTo == null
-        && !moving
-        && nowMs - session.lastHeardMs() < suspectMs
-        && nowMs >= doubtUntil;
+        && drainReason == null
+        && targetShard == null
+        && !isMoving
+        && nowMs - session.lastHeardMs() < suspectAfterMs
+        && nowMs >= avoidUntilMs;
   }
 }
--- a/src/main/java/dunlincroft/coordination/MachineDiscovery.java
+++ b/src/main/java/dunlincroft/coordination/MachineDiscovery.java
@@ -31,39 +31,39 @@
   private static final Logger LOG = LoggerFactory.getLogger(MachineDiscovery.class);
 
   /** A machine without a block; shard null: the neediest gets it. */
-  private record Newcomer(BlockClass blockClass, long hiredAt, String shard) {}
+  private record UnleasedMachine(BlockClass blockClass, long rentedAtMs, String shard) {}
 
   /** Name of the record that each lease of machines replaces, and its field. */
-  private static final String LAST = "last";
+  private static final String LAST_CHANGE = "last";
 
-  private static final String MADE = "blocks";
+  private static final String CREATED = "blocks";
 
-  private final ClusterState world;
-  private final Membership members;
+  private final ClusterState cluster;
+  private final Membership membership;
   private final Demand demand;
-  private final Map<String, Newcomer> newcomers = new LinkedHashMap<>();
+  private final Map<String, UnleasedMachine> unleased = new LinkedHashMap<>();
 
   /**
    * Blocks that are offered to the state service, by name. A block is final once offered: a try
    * without an answer may be applied late, and a second one of another content would put a machine
    * into two blocks.
    */
-  private final Map<String, BlockRecord> offered = new LinkedHashMap<>();
+  private final Map<String, BlockRecord> proposed = new LinkedHashMap<>();
 
   /** Offered blocks of which the record of leases says that they were made. */
-  private final Set<String> made = new HashSet<>();
+  private final Set<String> created = new HashSet<>();
 
-  private final Map<String, Long> gone = new HashMap<>();
+  private final Map<String, Long> releasedUntil = new HashMap<>();
 
   /** Machines that were asked whether they are there. */
-  private final Set<String> asking = new HashSet<>();
+  private final Set<String> queried = new HashSet<>();
 
-  private boolean recording;
-  private long ledSince;
+  private boolean isCommitting;
+  private long syncedLeaderStamp;
 
-  MachineDiscovery(ClusterState world, Membership members, Demand demand) {
-    this.world = world;
-    this.members = members;
+  MachineDiscovery(ClusterState cluster, Membership membership, Demand demand) {
+    this.cluster = cluster;
+    this.membership = membership;
     this.demand = demand;
   }
 
@@ -71,148 +71,158 @@
    * A worker reports whose machine has no block. It may be a new one, or a copy of a report that
    * comes late, of a machine that was released long ago: only an answer tells.
    */
-  void reported(WorkerReport report) {
+  void onReport(WorkerReport report) {
     String host = report.host();
-    if (!isNew(host) || !asking.add(host)) {
+    if (!isNew(host) || !queried.add(host)) {
       return;
     }
-    StatusQuery.ask(
-        world.env,
+    StatusQuery.query(
+        cluster.env,
         host,
         report.endpoint(),
         answer -> {
-          asking.remove(host);
-          if (members.isLeader() && answer.isFromHost()) {
+          queried.remove(host);
+          if (membership.isLeader() && answer.isFromHost()) {
             adopt(
                 List.of(host),
                 new BlockClass(report.flavour(), report.hall(), report.lendable()),
-                world.env.wallMillis(),
+                cluster.env.wallMillis(),
                 null);
           }
         });
   }
 
   private boolean isNew(String host) {
-    return world.blocks.blockOf(host) == null
-        && !isOffered(host)
-        && !newcomers.containsKey(host)
-        && !isGone(host);
+    return cluster.blocks.blockOf(host) == null
+        && !isProposed(host)
+        && !unleased.containsKey(host)
+        && !isRecentlyReleased(host);
   }
 
   /** Takes machines for blocks of a shard or (null) of the neediest one. */
-  void adopt(Collection<String> hosts, BlockClass blockClass, long hiredAt, String shard) {
+  void adopt(Collection<String> hosts, BlockClass blockClass, long rentedAtMs, String shard) {
     for (String host : hosts) {
       if (isNew(host)) {
-        newcomers.put(host, new Newcomer(blockClass, hiredAt, shard));
+        unleased.put(host, new UnleasedMachine(blockClass, rentedAtMs, shard));
       }
     }
   }
 
-  private boolean isOffered(String host) {
-    return offered.values().stream().anyMatch(block -> block.hosts().containsKey(host));
+  private boolean isProposed(String host) {
+    return proposed.values().stream().anyMatch(block -> block.hosts().containsKey(host));
   }
 
   /** A machine that was released may show for a while in lists that lag. */
-  void gone(String host) {
-    gone.put(host, world.now() + Constants.GONE_MS);
+  void markReleased(String host) {
+    releasedUntil.put(host, cluster.now() + Constants.GONE_MS);
   }
 
-  boolean isGone(String host) {
-    return gone.containsKey(host);
+  boolean isRecentlyReleased(String host) {
+    return releasedUntil.containsKey(host);
   }
 
   /** Machines of a type that are on their way into blocks. */
-  int coming(String type, boolean lendable) {
-    long n = newcomers.values().stream().filter(c -> is(c.blockClass, type, lendable)).count();
-    for (BlockRecord block : offered.values()) {
-      n += is(block.blockClass(), type, lendable) ? block.hosts().size() : 0;
+  int pendingCount(String type, boolean preemptible) {
+    long n =
+        unleased.values().stream()
+            .filter(unleasedMachine -> matches(unleasedMachine.blockClass, type, preemptible))
+            .count();
+    for (BlockRecord block : proposed.values()) {
+      n += matches(block.blockClass(), type, preemptible) ? block.hosts().size() : 0;
     }
     return (int) n;
   }
 
   /** The same by class, added to what is there. */
-  void addComing(Map<BlockClass, Integer> into) {
-    newcomers.values().forEach(newcomer -> into.merge(newcomer.blockClass, 1, Integer::sum));
-    offered
+  void addPendingCounts(Map<BlockClass, Integer> counts) {
+    unleased.values().forEach(machine -> counts.merge(machine.blockClass, 1, Integer::sum));
+    proposed
         .values()
-        .forEach(block -> into.merge(block.blockClass(), block.hosts().size(), Integer::sum));
+        .forEach(block -> counts.merge(block.blockClass(), block.hosts().size(), Integer::sum));
   }
 
-  private static boolean is(BlockClass blockClass, String type, boolean lendable) {
-    return blockClass.flavour().equals(type) && blockClass.lendable() == lendable;
+  private static boolean matches(BlockClass blockClass, String type, boolean preemptible) {
+    return blockClass.flavour().equals(type) && blockClass.lendable() == preemptible;
   }
 
   void tick() {
-    gone.values().removeIf(until -> world.now() > until);
-    if (!members.isLeader()) {
+    releasedUntil.values().removeIf(until -> cluster.now() > until);
+    if (!membership.isLeader()) {
       // Whoever does finds in the cloud's list what we rented.
-      offered.clear();
-      newcomers.clear();
-      ledSince = 0;
+      proposed.clear();
+      unleased.clear();
+      syncedLeaderStamp = 0;
       return;
     }
-    long led = members.leaderStamp();
-    if (led != ledSince) {
+    long leadStamp = membership.leaderStamp();
+    if (leadStamp != syncedLeaderStamp) {
       // Another led in between and may have adopted the same machines: what we offered is void,
       // and nothing is offered before all that it wrote was read.
-      offered.clear();
-      newcomers.clear();
-      world.feed.barrier(ok -> ledSince = ok ? led : ledSince);
+      proposed.clear();
+      unleased.clear();
+      cluster.feed.barrier(ok -> syncedLeaderStamp = ok ? leadStamp : syncedLeaderStamp);
       return;
     }
-    offered.keySet().removeIf(name -> world.blocks.get(name) != null);
-    newcomers.keySet().removeIf(host -> world.blocks.blockOf(host) != null);
-    settle();
-    group();
+    proposed.keySet().removeIf(name -> cluster.blocks.get(name) != null);
+    unleased.keySet().removeIf(host -> cluster.blocks.blockOf(host) != null);
+    findCreated();
+    proposeBlocks();
     record();
   }
 
   /** Makes blocks of the newcomers, by class and shard. */
-  private void group() {
-    List<String> holders = members.leasedShards();
-    if (newcomers.isEmpty() || holders.isEmpty()) {
+  private void proposeBlocks() {
+    List<String> candidates = membership.leasedShards();
+    if (unleased.isEmpty() || candidates.isEmpty()) {
       return;
     }
-    Map<BlockClass, Map<String, Integer>> blocks = demand.machinesByClass();
-    Map<BlockClass, Map<String, Double>> work = new HashMap<>();
+    Map<BlockClass, Map<String, Integer>> machineCounts = demand.machinesByClass();
+    Map<BlockClass, Map<String, Double>> workByClass = new HashMap<>();
     Map<String, Map<String, Long>> hosts = new LinkedHashMap<>();
-    Map<String, Newcomer> first = new HashMap<>();
-    newcomers.forEach(
-        (host, newcomer) -> {
-          BlockClass blockClass = newcomer.blockClass;
-          Map<String, Integer> has = blocks.computeIfAbsent(blockClass, c -> new HashMap<>());
-          String shard = newcomer.shard;
+    Map<String, UnleasedMachine> templates = new HashMap<>();
+    unleased.forEach(
+        (host, machine) -> {
+          BlockClass blockClass = machine.blockClass;
+          Map<String, Integer> countByShard =
+              machineCounts.computeIfAbsent(blockClass, c -> new HashMap<>());
+          String shard = machine.shard;
           if (shard == null) {
             shard =
-                neediest(holders, work.computeIfAbsent(blockClass, demand::machinesByShard), has);
+                neediestShard(
+                    candidates,
+                    workByClass.computeIfAbsent(blockClass, demand::machinesByShard),
+                    countByShard);
           }
-          has.merge(shard, 1, Integer::sum);
+          countByShard.merge(shard, 1, Integer::sum);
           String group = shard + " " + blockClass;
-          first.putIfAbsent(group, new Newcomer(blockClass, 0, shard));
-          Map<String, Long> members = hosts.computeIfAbsent(group, g -> new LinkedHashMap<>());
-          members.put(host, newcomer.hiredAt);
-          if (members.size() == world.settings.blockMachines()) {
-            offer(first.get(group), hosts.remove(group));
+          templates.putIfAbsent(group, new UnleasedMachine(blockClass, 0, shard));
+          Map<String, Long> groupHosts = hosts.computeIfAbsent(group, g -> new LinkedHashMap<>());
+          groupHosts.put(host, machine.rentedAtMs);
+          if (groupHosts.size() == cluster.settings.blockMachines()) {
+            propose(templates.get(group), hosts.remove(group));
           }
         });
-    hosts.forEach((group, rest) -> offer(first.get(group), rest));
-    newcomers.clear();
+    hosts.forEach((group, rest) -> propose(templates.get(group), rest));
+    unleased.clear();
   }
 
-  private void offer(Newcomer like, Map<String, Long> hosts) {
-    offered.put(members.nextName(), new BlockRecord(like.shard, like.blockClass, hosts));
+  private void propose(UnleasedMachine template, Map<String, Long> hosts) {
+    proposed.put(
+        membership.nextName(), new BlockRecord(template.shard, template.blockClass, hosts));
   }
 
   /** The lease holder with the most work for each machine that it has. */
-  private static String neediest(
-      List<String> holders, Map<String, Double> work, Map<String, Integer> has) {
+  private static String neediestShard(
+      List<String> candidates, Map<String, Double> workByShard, Map<String, Integer> countByShard) {
     String best = null;
-    double most = -1;
-    for (String holder : holders) {
-      double need = (1.0 + work.getOrDefault(holder, 0.0)) / (1.0 + has.getOrDefault(holder, 0));
-      if (need > most) {
-        best = holder;
-        most = need;
+    double highest = -1;
+    for (String candidate : candidates) {
+      double need =
+          (1.0 + workByShard.getOrDefault(candidate, 0.0))
+              / (1.0 + countByShard.getOrDefault(candidate, 0));
+      if (need > highest) {
+        best = candidate;
+        highest = need;
       }
     }
     return best;
@@ -223,15 +233,15 @@
    * soon they are emptied and removed, and count as on their way until our replica shows what
    * became of them.
    */
-  private void settle() {
-    Item last = world.replica.get(Replica.DISCOVERED_BLOCKS, LAST);
+  private void findCreated() {
+    Item last = cluster.replica.get(Replica.DISCOVERED_BLOCKS, LAST_CHANGE);
     if (last != null) {
-      last.data().path(MADE).forEach(name -> made.add(name.asText()));
+      last.data().path(CREATED).forEach(name -> created.add(name.asText()));
     }
-    made.retainAll(offered.keySet());
-    if (!made.isEmpty()) {
-      List<String> shown = List.copyOf(made);
-      world.feed.barrier(ok -> offered.keySet().removeAll(ok ? shown : List.of()));
+    created.retainAll(proposed.keySet());
+    if (!created.isEmpty()) {
+      List<String> settled = List.copyOf(created);
+      cluster.feed.barrier(ok -> proposed.keySet().removeAll(ok ? settled : List.of()));
     }
   }
 
@@ -242,20 +252,20 @@
    * applied, and none after a newer one.
    */
   private void record() {
-    if (recording) {
+    if (isCommitting) {
       return;
     }
     List<String> names = new ArrayList<>();
     Set<String> hosts = new HashSet<>();
     ObjectNode last = Cbor.map();
-    String lastKey = Wire.key(Replica.DISCOVERED_BLOCKS, LAST);
+    String lastKey = Wire.key(Replica.DISCOVERED_BLOCKS, LAST_CHANGE);
     Txn txn =
-        members
+        membership
             .guardAsLeader(new Txn())
-            .guard(lastKey, world.replica.stamp(Replica.DISCOVERED_BLOCKS, LAST))
+            .guard(lastKey, cluster.replica.stamp(Replica.DISCOVERED_BLOCKS, LAST_CHANGE))
             .put(lastKey, last);
-    for (Map.Entry<String, BlockRecord> entry : offered.entrySet()) {
-      if (txn.size() < world.settings.txnOps() && !made.contains(entry.getKey())) {
+    for (Map.Entry<String, BlockRecord> entry : proposed.entrySet()) {
+      if (txn.size() < cluster.settings.txnOps() && !created.contains(entry.getKey())) {
         String key = Wire.key(Replica.BLOCKS, entry.getKey());
         txn.guard(key, 0).put(key, entry.getValue().toNode());
         names.add(entry.getKey());
@@ -265,18 +275,18 @@
     if (names.isEmpty()) {
       return;
     }
-    names.forEach(last.putArray(MADE)::add);
-    recording = true;
-    world.store.commit(
+    names.forEach(last.putArray(CREATED)::add);
+    isCommitting = true;
+    cluster.store.commit(
         Urgency.HANDS,
         txn,
         result -> {
-          recording = false;
+          isCommitting = false;
           LOG.info("{} machines leased as blocks {}: {}", hosts.size(), names, result.outcome());
           if (result.ok()) {
-            offered.keySet().removeAll(names);
+            proposed.keySet().removeAll(names);
           } else if (result.outcome() == Txn.Outcome.CONFLICT) {
-            world.feed.barrier(ok -> LOG.debug("reread after blocks not leased: {}", ok));
+            cluster.feed.barrier(ok -> LOG.debug("reread after blocks not leased: {}", ok));
           }
         });
   }
--- a/src/main/java/dunlincroft/coordination/MachineHandover.java
+++ b/src/main/java/dunlincroft/coordination/MachineHandover.java
@@ -28,36 +28,37 @@
 final class MachineHandover {
   private static final Logger LOG = LoggerFactory.getLogger(MachineHandover.class);
 
-  private final ClusterState world;
-  private final Membership members;
+  private final ClusterState cluster;
+  private final Membership membership;
   private final Demand demand;
   private final HandoverWriter writer;
-  private long plannedFor;
+  private long plannedLeaseStamp;
 
   /** Since when waiting jobs have found no room in their shards. */
-  private final Map<String, Long> stuckSince = new HashMap<>();
+  private final Map<String, Long> blockedSince = new HashMap<>();
 
-  MachineHandover(ClusterState world, Membership members, Demand demand, HandoverWriter writer) {
-    this.world = world;
-    this.members = members;
+  MachineHandover(
+      ClusterState cluster, Membership membership, Demand demand, HandoverWriter writer) {
+    this.cluster = cluster;
+    this.membership = membership;
     this.demand = demand;
     this.writer = writer;
   }
 
   /** Plans at each renewal of the leases, and moves what is empty by now. */
-  void tick(RecordedCapacity room) {
-    if (members.leaseStamp() != plannedFor) {
-      plannedFor = members.leaseStamp();
+  void tick(RecordedCapacity capacity) {
+    if (membership.leaseStamp() != plannedLeaseStamp) {
+      plannedLeaseStamp = membership.leaseStamp();
       plan();
     }
-    helpWaiting(room);
+    assignToBlockedJobs(capacity);
     Map<BlockIndex.Block, Map<String, List<Machine>>> ready = new LinkedHashMap<>();
-    for (Machine machine : world.machines.values()) {
-      BlockIndex.Block block = world.blocks.blockOf(machine.host);
-      if (machine.moveTo != null && !machine.moving && block != null && movable(machine)) {
+    for (Machine machine : cluster.machines.values()) {
+      BlockIndex.Block block = cluster.blocks.blockOf(machine.host);
+      if (machine.targetShard != null && !machine.isMoving && block != null && isMovable(machine)) {
         ready
             .computeIfAbsent(block, b -> new HashMap<>())
-            .computeIfAbsent(machine.moveTo, to -> new ArrayList<>())
+            .computeIfAbsent(machine.targetShard, to -> new ArrayList<>())
             .add(machine);
       }
     }
@@ -67,19 +68,19 @@
 
   /** Chooses the blocks to hand over until the next renewal, class by class. */
   private void plan() {
-    world.machines.values().stream().filter(m -> !m.moving).forEach(m -> m.moveTo = null);
-    Set<String> needed = neededHere(new RecordedCapacity(world));
+    cluster.machines.values().stream().filter(m -> !m.isMoving).forEach(m -> m.targetShard = null);
+    Set<String> needed = neededByOwnJobs(new RecordedCapacity(cluster));
     demand
         .machinesByClass()
         .forEach(
-            (blockClass, blocks) -> {
-              Map<String, Double> work = demand.machinesByShard(blockClass);
-              double all = work.values().stream().mapToDouble(d -> d).sum();
-              int total = blocks.values().stream().mapToInt(n -> n).sum();
-              if (all > 0) {
-                work.replaceAll((shard, machines) -> machines / all * total);
-                List.copyOf(world.ownedShards.keySet())
-                    .forEach(shard -> plan(blockClass, shard, blocks, work, needed));
+            (blockClass, machineCounts) -> {
+              Map<String, Double> workByShard = demand.machinesByShard(blockClass);
+              double totalWork = workByShard.values().stream().mapToDouble(d -> d).sum();
+              int totalMachines = machineCounts.values().stream().mapToInt(n -> n).sum();
+              if (totalWork > 0) {
+                workByShard.replaceAll((shard, machines) -> machines / totalWork * totalMachines);
+                List.copyOf(cluster.ownedShards.keySet())
+                    .forEach(shard -> plan(blockClass, shard, machineCounts, workByShard, needed));
               }
             });
   }
@@ -87,34 +88,35 @@
   private void plan(
       BlockClass blockClass,
       String from,
-      Map<String, Integer> blocks,
-      Map<String, Double> want,
+      Map<String, Integer> machineCounts,
+      Map<String, Double> targets,
       Set<String> needed) {
-    List<Machine> mine = new ArrayList<>();
-    for (Machine machine : world.machines.values()) {
+    List<Machine> candidates = new ArrayList<>();
+    for (Machine machine : cluster.machines.values()) {
       if (machine.shard.equals(from)
           && machine.blockClass().equals(blockClass)
-          && world.isUsable(machine)
+          && cluster.isUsable(machine)
           && !needed.contains(machine.host)
-          && !machine.hasDaemon()) {
-        mine.add(machine);
+          && !machine.hasService()) {
+        candidates.add(machine);
       }
     }
-    mine.sort(Comparator.comparingLong(machine -> machine.used().cpu()));
-    for (Machine machine : mine) {
+    candidates.sort(Comparator.comparingLong(machine -> machine.used().cpu()));
+    for (Machine machine : candidates) {
       String to =
-          want.keySet().stream()
-              .filter(shard -> world.replica.get(Replica.SHARDS, shard) != null)
-              .max(Comparator.comparingDouble(shard -> lack(shard, blocks, want)))
+          targets.keySet().stream()
+              .filter(shard -> cluster.replica.get(Replica.SHARDS, shard) != null)
+              .max(Comparator.comparingDouble(shard -> shortfall(shard, machineCounts, targets)))
               .orElse(from);
       // Half a block is no reason: two holders would hand it to and fro.
-      if (lack(to, blocks, want) < 0.5 || -lack(from, blocks, want) < 0.5) {
+      if (shortfall(to, machineCounts, targets) < 0.5
+          || -shortfall(from, machineCounts, targets) < 0.5) {
         return;
       }
       LOG.info("host {} goes from shard {} to shard {} once empty", machine.host, from, to);
-      machine.moveTo = to;
-      blocks.merge(from, -1, Integer::sum);
-      blocks.merge(to, 1, Integer::sum);
+      machine.targetShard = to;
+      machineCounts.merge(from, -1, Integer::sum);
+      machineCounts.merge(to, 1, Integer::sum);
     }
   }
 
@@ -122,12 +124,12 @@
    * Machines that waiting jobs of our own shards are about to use. A machine may be the only one in
    * its job's zone while the numbers by class say that another shard lacks it more.
    */
-  private Set<String> neededHere(RecordedCapacity room) {
+  private Set<String> neededByOwnJobs(RecordedCapacity capacity) {
     Set<String> needed = new HashSet<>();
-    for (JobIndex.Job job : waiting()) {
-      if (world.owns(job.shard) && hasPart(job)) {
-        room.hostsOf(job.shard).stream()
-            .filter(host -> room.fits(job, host))
+    for (JobIndex.Job job : waitingJobs()) {
+      if (cluster.owns(job.shard) && hasShareForOneTask(job)) {
+        capacity.hostsOf(job.shard).stream()
+            .filter(host -> capacity.fits(job, host))
             .forEach(host -> needed.add(host.name));
       }
     }
@@ -135,19 +137,19 @@
   }
 
   /** Jobs with tasks that wait, the first {@code CLAIMS_LOOKED_AT} in the order of service. */
-  private List<JobIndex.Job> waiting() {
-    return world.jobIndex.all().values().stream()
+  private List<JobIndex.Job> waitingJobs() {
+    return cluster.jobIndex.all().values().stream()
         .filter(job -> job.runnableTasks() > job.placedCount())
-        .filter(job -> !demand.isCancelled(job.spec) && world.needsMachines(job.spec))
+        .filter(job -> !demand.isCancelled(job.spec) && cluster.needsMachines(job.spec))
         .sorted(ShareHandover.ORDER)
         .limit(Constants.CLAIMS_LOOKED_AT)
         .toList();
   }
 
   /** Whether the part of its team's limit that a job's shard has leaves room for one task. */
-  private boolean hasPart(JobIndex.Job job) {
+  private boolean hasShareForOneTask(JobIndex.Job job) {
     String team = job.spec.owner();
-    Room unused = world.usableShare(team, job.shard).minus(world.teamUsage(team, job.shard));
+    Room unused = cluster.usableShare(team, job.shard).minus(cluster.teamUsage(team, job.shard));
     return job.spec.room().fits(unused);
   }
 
@@ -157,40 +159,41 @@
    * A job that no machine of its shard has room for, while one of another shard has, gets that
    * machine once it is empty. All owners find the same machine by the records, and its owner acts.
    */
-  private void helpWaiting(RecordedCapacity room) {
-    Set<String> stuck = new HashSet<>();
-    for (JobIndex.Job job : waiting()) {
-      if (room.countFitting(job, job.shard, 1) == 0) {
-        stuck.add(job.spec.ref());
-        if (isPatient(job)) {
-          help(job, room);
+  private void assignToBlockedJobs(RecordedCapacity capacity) {
+    Set<String> blocked = new HashSet<>();
+    for (JobIndex.Job job : waitingJobs()) {
+      if (capacity.countFitting(job, job.shard, 1) == 0) {
+        blocked.add(job.spec.ref());
+        if (isBlockedLongEnough(job)) {
+          assignMachine(job, capacity);
         }
       }
     }
-    stuckSince.keySet().retainAll(stuck);
+    blockedSince.keySet().retainAll(blocked);
   }
 
   /** Whether a job has been without room for a while; records lag behind starts and ends. */
-  private boolean isPatient(JobIndex.Job job) {
-    long since = stuckSince.computeIfAbsent(job.spec.ref(), ref -> world.now());
-    return world.now() - since >= Constants.CLAIM_PATIENCE_MS;
+  private boolean isBlockedLongEnough(JobIndex.Job job) {
+    long since = blockedSince.computeIfAbsent(job.spec.ref(), ref -> cluster.now());
+    return cluster.now() - since >= Constants.CLAIM_PATIENCE_MS;
   }
 
-  private void help(JobIndex.Job job, RecordedCapacity room) {
-    boolean helped =
-        world.machines.values().stream().anyMatch(machine -> job.shard.equals(machine.moveTo));
-    if (helped) {
+  private void assignMachine(JobIndex.Job job, RecordedCapacity capacity) {
+    boolean alreadyAssigned =
+        cluster.machines.values().stream()
+            .anyMatch(machine -> job.shard.equals(machine.targetShard));
+    if (alreadyAssigned) {
       return;
     }
-    room.shards().stream()
+    capacity.shards().stream()
         .filter(shard -> !shard.equals(job.shard))
-        .flatMap(shard -> room.hostsOf(shard).stream())
-        .filter(host -> !host.hasServices && room.fits(job, host))
+        .flatMap(shard -> capacity.hostsOf(shard).stream())
+        .filter(host -> !host.hasServices && capacity.fits(job, host))
         .min(
             Comparator.comparingLong((RecordedCapacity.Host host) -> -host.free.cpu())
                 .thenComparing(host -> host.name))
-        .map(host -> world.machines.get(host.name))
-        .filter(machine -> machine.moveTo == null && !machine.moving)
+        .map(host -> cluster.machines.get(host.name))
+        .filter(machine -> machine.targetShard == null && !machine.isMoving)
         .ifPresent(
             machine -> {
               LOG.info(
@@ -199,27 +202,28 @@
                   machine.shard,
                   job.shard,
                   job.spec.ref());
-              machine.moveTo = job.shard;
+              machine.targetShard = job.shard;
             });
   }
 
-  private static double lack(String shard, Map<String, Integer> blocks, Map<String, Double> want) {
-    return want.getOrDefault(shard, 0.0) - blocks.getOrDefault(shard, 0);
+  private static double shortfall(
+      String shard, Map<String, Integer> machineCounts, Map<String, Double> targets) {
+    return targets.getOrDefault(shard, 0.0) - machineCounts.getOrDefault(shard, 0);
   }
 
   /**
    * Nothing is on the machine, no order for it is under way, and no record names it: a successor of
    * ours would otherwise look for a task there, and release the machine under another shard.
    */
-  private boolean movable(Machine machine) {
-    return machine.placed.isEmpty()
-        && machine.pieces.isEmpty()
-        && machine.named.isEmpty()
-        && machine.draining == null
+  private boolean isMovable(Machine machine) {
+    return machine.placements.isEmpty()
+        && machine.reportedTasks.isEmpty()
+        && machine.recordedJobs.isEmpty()
+        && machine.drainReason == null
         && machine.lifecycle == MachineLifecycle.IN_USE
-        && !machine.raising
+        && !machine.isRaisingFence
         && machine.session.hasReported()
-        && machine.session.provenAbsent();
+        && machine.session.isAbsenceProven();
   }
 
   /** Takes the machines out of their block and makes a block of the other shard of them. */
@@ -227,32 +231,32 @@
     String from = block.record().shard();
     String to = moves.getKey();
     List<Machine> machines = moves.getValue();
-    if (!world.owns(from) || (world.settings.txnOps() < 2 && machines.size() < block.size())) {
+    if (!cluster.owns(from) || (cluster.settings.txnOps() < 2 && machines.size() < block.size())) {
       return;
     }
     List<String> hosts = machines.stream().map(machine -> machine.host).toList();
     String key = Wire.key(Replica.BLOCKS, block.name());
     Txn txn =
         new Txn()
-            .guard(Wire.key(Replica.SHARDS, from), world.ownedShards.getLong(from))
+            .guard(Wire.key(Replica.SHARDS, from), cluster.ownedShards.getLong(from))
             .guard(key, block.stamp());
     if (hosts.size() == block.size()) {
       txn.put(key, block.record().part(hosts, to).toNode());
     } else {
-      String made = Wire.key(Replica.BLOCKS, members.nextName());
+      String newKey = Wire.key(Replica.BLOCKS, membership.nextName());
       txn.put(key, block.record().without(hosts).toNode());
-      txn.guard(made, 0).put(made, block.record().part(hosts, to).toNode());
+      txn.guard(newKey, 0).put(newKey, block.record().part(hosts, to).toNode());
     }
-    machines.forEach(machine -> machine.moving = true);
+    machines.forEach(machine -> machine.isMoving = true);
     writer.commit(
         txn,
         hosts.size() + " machines of block " + block.name() + " to shard " + to,
         () -> {
           for (Machine machine : machines) {
-            machine.moving = false;
-            machine.moveTo = null;
+            machine.isMoving = false;
+            machine.targetShard = null;
           }
-          world.placementDue = true;
+          cluster.placementDue = true;
         });
   }
 }
--- a/src/main/java/dunlincroft/coordination/MachineList.java
+++ b/src/main/java/dunlincroft/coordination/MachineList.java
@@ -23,76 +23,76 @@
 final class MachineList {
   private static final Logger LOG = LoggerFactory.getLogger(MachineList.class);
 
-  private final ClusterState world;
-  private final Membership members;
+  private final ClusterState cluster;
+  private final Membership membership;
   private final MachineProbe probe;
-  private final Cloud cloud;
+  private final CloudClient cloud;
   private final MachineDiscovery discovery;
-  private final Map<String, Long> seenUnknown = new HashMap<>();
-  private long nextList;
-  private long lastList;
-  private boolean listing;
-  private boolean again;
+  private final Map<String, Long> unknownSince = new HashMap<>();
+  private long nextPollMs;
+  private long lastPollMs;
+  private boolean isPolling;
+  private boolean hasToRepoll;
 
   MachineList(
-      ClusterState world,
-      Membership members,
+      ClusterState cluster,
+      Membership membership,
       MachineProbe probe,
-      Cloud cloud,
+      CloudClient cloud,
       MachineDiscovery discovery) {
-    this.world = world;
-    this.members = members;
+    this.cluster = cluster;
+    this.membership = membership;
     this.probe = probe;
     this.cloud = cloud;
     this.discovery = discovery;
   }
 
-  private long lags(double number) {
-    return (long) (world.settings.listLagS() * number * 1000);
+  private long lagMs(double number) {
+    return (long) (cluster.settings.listLagS() * number * 1000);
   }
 
   /**
    * A new holder looks up where its machines are. Workers of one that is alive but cut off stay
    * with it for a while: unless we ask them ourselves, they seem silent, and are released.
    */
-  void findMachines() {
-    if (world.machines.values().stream().allMatch(machine -> machine.endpoint != null)) {
+  void locateMachines() {
+    if (cluster.machines.values().stream().allMatch(machine -> machine.endpoint != null)) {
       return;
     }
     // What a listing under way has shown already was shown before these machines were ours.
-    again = listing;
-    nextList = 0;
+    hasToRepoll = isPolling;
+    nextPollMs = 0;
     tick();
   }
 
   /** Where others' machines are is remembered for the day that they become ours. */
-  void lookAhead(boolean soon) {
-    long every = soon ? Constants.LIST_MS : Constants.LOOK_AHEAD_MS;
-    if (world.now() - lastList >= every) {
-      nextList = 0;
+  void prefetchEndpoints(boolean takeoverImminent) {
+    long intervalMs = takeoverImminent ? Constants.LIST_MS : Constants.LOOK_AHEAD_MS;
+    if (cluster.now() - lastPollMs >= intervalMs) {
+      nextPollMs = 0;
       tick();
     }
   }
 
   void tick() {
-    if (listing || world.now() < nextList) {
+    if (isPolling || cluster.now() < nextPollMs) {
       return;
     }
-    again = false;
-    lastList = world.now();
-    nextList = lastList + Constants.LIST_MS;
-    listing = true;
-    listFrom("", new HashSet<>());
+    hasToRepoll = false;
+    lastPollMs = cluster.now();
+    nextPollMs = lastPollMs + Constants.LIST_MS;
+    isPolling = true;
+    pollFrom("", new HashSet<>());
   }
 
-  private void listFrom(String since, Set<String> seen) {
+  private void pollFrom(String since, Set<String> seen) {
     cloud.call(
         false,
         "GET",
         Wire.MACHINES + "?since=" + since + "&most=" + Constants.MACHINE_PAGE,
         null,
         (status, body) -> {
-          listing = false;
+          isPolling = false;
           if (status != 200 || body == null) {
             LOG.info("machine list not to be had: {}", status);
             return;
@@ -100,19 +100,19 @@
           try {
             String last = since;
             for (JsonNode item : Fields.list(body, "hosts")) {
-              Listing machine = Listing.parse(item);
-              last = machine.host();
+              Listing listing = Listing.parse(item);
+              last = listing.host();
               seen.add(last);
-              listed(machine);
+              onListed(listing);
             }
             if (Fields.flag(body, "hasNext")) {
-              listing = true;
-              listFrom(last, seen);
+              isPolling = true;
+              pollFrom(last, seen);
             } else {
-              seenUnknown.keySet().retainAll(seen);
-              world.endpoints.keySet().retainAll(seen);
-              if (again) {
-                findMachines();
+              unknownSince.keySet().retainAll(seen);
+              cluster.endpoints.keySet().retainAll(seen);
+              if (hasToRepoll) {
+                locateMachines();
               }
             }
           } catch (Malformed e) {
@@ -121,32 +121,32 @@
         });
   }
 
-  private void listed(Listing machine) {
-    if (world.blocks.blockOf(machine.host()) == null) {
+  private void onListed(Listing listing) {
+    if (cluster.blocks.blockOf(listing.host()) == null) {
       // The list lags: a machine returned a moment ago still shows. One that stays is unexpected.
-      if (members.isLeader()
-          && !discovery.isGone(machine.host())
-          && world.now() - seenUnknown.computeIfAbsent(machine.host(), host -> world.now())
-              >= lags(Constants.UNKNOWN_LAGS)) {
-        LOG.info("host {} is listed and has no block: adopted", machine.host());
+      if (membership.isLeader()
+          && !discovery.isRecentlyReleased(listing.host())
+          && cluster.now() - unknownSince.computeIfAbsent(listing.host(), host -> cluster.now())
+              >= lagMs(Constants.UNKNOWN_LAGS)) {
+        LOG.info("host {} is listed and has no block: adopted", listing.host());
         discovery.adopt(
-            List.of(machine.host()),
-            new BlockClass(machine.flavour(), machine.hall(), machine.lendable()),
-            world.env.wallMillis() - (long) (machine.heldS() * 1000),
+            List.of(listing.host()),
+            new BlockClass(listing.flavour(), listing.hall(), listing.lendable()),
+            cluster.env.wallMillis() - (long) (listing.heldS() * 1000),
             null);
       }
       return;
     }
-    Machine ours = world.machines.get(machine.host());
-    if (ours == null) {
-      world.endpoints.put(machine.host(), machine.endpoint());
-    } else if (ours.endpoint == null) {
-      ours.endpoint = machine.endpoint();
-      probe.probe(ours);
+    Machine owned = cluster.machines.get(listing.host());
+    if (owned == null) {
+      cluster.endpoints.put(listing.host(), listing.endpoint());
+    } else if (owned.endpoint == null) {
+      owned.endpoint = listing.endpoint();
+      probe.probe(owned);
     }
-    if (ours != null && machine.status().equals(Listing.FAILED) && ours.draining == null) {
-      LOG.info("host {} is listed as failed", machine.host());
-      ours.draining = "failed";
+    if (owned != null && listing.status().equals(Listing.FAILED) && owned.drainReason == null) {
+      LOG.info("host {} is listed as failed", listing.host());
+      owned.drainReason = "failed";
     }
   }
 }
--- a/src/main/java/dunlincroft/coordination/MachineProbe.java
+++ b/src/main/java/dunlincroft/coordination/MachineProbe.java
@@ -8,53 +8,53 @@
 final class MachineProbe {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProbe.class);
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final AnswerHandler answers;
-  private Consumer<Machine> onAnswer = machine -> {};
+  private Consumer<Machine> answerListener = machine -> {};
 
-  MachineProbe(ClusterState world, AnswerHandler answers) {
-    this.world = world;
+  MachineProbe(ClusterState cluster, AnswerHandler answers) {
+    this.cluster = cluster;
     this.answers = answers;
   }
 
   /** Told which machines have answered. */
-  void onAnswer(Consumer<Machine> then) {
-    onAnswer = then;
+  void setAnswerListener(Consumer<Machine> listener) {
+    answerListener = listener;
   }
 
   /** A first sign: nothing new starts there before it has answered a question. */
-  void unsure(Machine machine) {
+  void suspectMissedAnswer(Machine machine) {
     machine.session.onMissedAnswer();
     probe(machine);
   }
 
-  private void unanswered(Machine machine) {
-    if (machine.session.onNoAnswer(world.now())) {
+  private void onUnanswered(Machine machine) {
+    if (machine.session.onNoAnswer(cluster.now())) {
       LOG.info("host {} is deaf: its reports come, and our answers do not arrive", machine.host);
-      world.metrics.count(Figures.Event.DEAF);
+      cluster.metrics.count(Figures.Event.DEAF);
     }
   }
 
   /** Asks a machine directly how it is: after a change of hands, and when it has gone silent. */
   void probe(Machine machine) {
-    if (machine.session.probing() || machine.endpoint == null) {
+    if (machine.session.isProbeInFlight() || machine.endpoint == null) {
       return;
     }
-    machine.session.onProbe(true);
-    AnswerHandler.Known known = AnswerHandler.Known.of(machine);
-    StatusQuery.ask(
-        world.env,
+    machine.session.setProbeInFlight(true);
+    AnswerHandler.Known lastReport = AnswerHandler.Known.of(machine);
+    StatusQuery.query(
+        cluster.env,
         machine.host,
         machine.endpoint,
         answer -> {
-          machine.session.onProbe(false);
-          if (world.machines.get(machine.host) != machine) {
+          machine.session.setProbeInFlight(false);
+          if (cluster.machines.get(machine.host) != machine) {
             return;
           }
-          if (!answer.arrived()) {
-            unanswered(machine);
-          } else if (answers.take(machine, known, answer.reply())) {
-            onAnswer.accept(machine);
+          if (!answer.hasArrived()) {
+            onUnanswered(machine);
+          } else if (answers.take(machine, lastReport, answer.reply())) {
+            answerListener.accept(machine);
           }
         });
   }
--- /dev/null
+++ b/src/main/java/dunlincroft/coordination/MachineProvisioner.java
@@ -0,0 +1,360 @@
+package dunlincroft.coordination;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import dunlincroft.Constants;
+import dunlincroft.Settings;
+import dunlincroft.bookkeeping.BlockIndex;
+import dunlincroft.bookkeeping.JobIndex;
+import dunlincroft.membership.Membership;
+import dunlincroft.protocol.BlockClass;
+import dunlincroft.protocol.Cbor;
+import dunlincroft.protocol.Fields;
+import dunlincroft.protocol.JobSpec;
+import dunlincroft.protocol.MachineType;
+import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Wire;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The leader rents machines for what all work wants, evenly in all zones that have some. */
+final class MachineProvisioner {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
+
+  /** Machines there, with those that boot or are asked for. */
+  record MachineCounts(int onDemandCount, int preemptibleCount, int leasedCount) {}
+
+  private final ClusterState cluster;
+  private final Membership membership;
+  private final CloudClient cloud;
+  private final Demand demand;
+  private final MachineDiscovery discovery;
+  private final ZoneOutageDetector zoneOutages;
+  private final Map<BlockClass, Long> refusedUntil = new HashMap<>();
+  private final Map<String, Progress> progress = new HashMap<>();
+  private final Map<BlockClass, Integer> requested = new HashMap<>();
+  private final ReplicaHeadroom replicaHeadroom;
+
+  /** Machines that other nodes own and do not hear. */
+  private Set<String> silentOnPeers = Set.of();
+
+  /** Services whose replicas found no room at the last look. */
+  private Set<String> unplacedAtLastCheck = Set.of();
+
+  /** Zones that replicas on their way filled to the last machine at the last look. */
+  private Set<String> fullZonesAtLastCheck = Set.of();
+
+  MachineProvisioner(
+      ClusterState cluster,
+      Membership membership,
+      CloudClient cloud,
+      Demand demand,
+      MachineDiscovery discovery,
+      ZoneOutageDetector zoneOutages) {
+    this.cluster = cluster;
+    this.membership = membership;
+    this.cloud = cloud;
+    this.demand = demand;
+    this.discovery = discovery;
+    this.zoneOutages = zoneOutages;
+    this.replicaHeadroom = new ReplicaHeadroom(cluster, demand);
+  }
+
+  /** What there is of a type, with what boots or is asked for. */
+  MachineCounts countMachines(String type) {
+    int onDemand = requestedCount(type, false) + discovery.pendingCount(type, false);
+    int preemptible = requestedCount(type, true) + discovery.pendingCount(type, true);
+    int leased = 0;
+    for (BlockIndex.Block block : cluster.blocks.all()) {
+      BlockClass blockClass = block.record().blockClass();
+      if (!blockClass.flavour().equals(type)) {
+        continue;
+      }
+      for (String host : block.record().hosts().keySet()) {
+        leased++;
+        Machine machine = cluster.machines.get(host);
+        if (machine == null ? !silentOnPeers.contains(host) : isExpectedToServe(machine)) {
+          preemptible += blockClass.lendable() ? 1 : 0;
+          onDemand += blockClass.lendable() ? 0 : 1;
+        }
+      }
+    }
+    return new MachineCounts(onDemand, preemptible, leased);
+  }
+
+  /** Takes in what other owners tell of their machines; once a second. */
+  void refreshSilentOnPeers() {
+    silentOnPeers = membership.silentMachinesOfPeers();
+  }
+
+  /**
+   * Machines of our shards that do not serve, for the leader: it may own none of them, and would
+   * rent others only once their blocks are gone.
+   */
+  List<String> silentMachines() {
+    return cluster.machines.values().stream()
+        .filter(machine -> machine.blockStamp > 0 && machine.session.hasReported())
+        .filter(machine -> !isExpectedToServe(machine))
+        .map(machine -> machine.host)
+        .limit(Constants.SILENT_MACHINES_TOLD)
+        .toList();
+  }
+
+  /** Whether a machine serves, or will soon: one that is late to boot may never come. */
+  private boolean isExpectedToServe(Machine machine) {
+    if (machine.drainReason != null && !machine.drainReason.equals(Consolidation.SURPLUS)) {
+      return false;
+    }
+    if (machine.session.hasReported()) {
+      return cluster.now() - machine.session.lastHeardMs()
+          < cluster.reportIntervalsMs(Constants.SUSPECT_REPORTS);
+    }
+    double startupS = machine.type == null ? 0 : machine.type.startupS();
+    long ageMs = cluster.env.wallMillis() - machine.rentedAtWallMs;
+    return ageMs < startupS * 1000 * Constants.BOOT_USUAL + Constants.BOOT_EXTRA_MS;
+  }
+
+  // ---- hiring ----
+
+  /** Rents what all work lacks. */
+  void tick() {
+    Map<String, Demand.MachineDemand> needs = demand.smoothedDemand();
+    for (MachineType type : cluster.machineTypes.values()) {
+      Demand.MachineDemand need = needs.get(type.label());
+      if (need == null) {
+        continue;
+      }
+      MachineCounts counts = countMachines(type.label());
+      double onDemand = demand.onDemandTarget(type, need);
+      int onDemandShortfall = (int) Math.ceil(onDemand) - counts.onDemandCount;
+      // Ordinary machines beyond what services need serve work that may move as well; counted as
+      // in surplus(), so that none is rented to be returned at once.
+      double spareOnDemand = Math.max(0, counts.onDemandCount - onDemand);
+      int preemptibleShortfall =
+          (int) Math.ceil(need.preemptible - counts.preemptibleCount - spareOnDemand);
+      int headroom =
+          cluster.policy.rentalsMost(type) - counts.onDemandCount - counts.preemptibleCount;
+      onDemandShortfall = Math.max(0, Math.min(onDemandShortfall, headroom));
+      preemptibleShortfall = Math.min(preemptibleShortfall, headroom - onDemandShortfall);
+      if (onDemandShortfall > 0) {
+        rentAcrossZones(type, false, onDemandShortfall);
+      }
+      if (preemptibleShortfall > 0 && !rentAcrossZones(type, true, preemptibleShortfall)) {
+        rentAcrossZones(type, false, preemptibleShortfall);
+      }
+    }
+  }
+
+  // ---- replicas without room ----
+
+  /** What the waiting replicas count on and what they lack, beside all that is asked for. */
+  ReplicaHeadroom.Assessment assessReplicas() {
+    Map<BlockClass, Integer> pending = new HashMap<>(requested);
+    discovery.addPendingCounts(pending);
+    return replicaHeadroom.assess(this::canKeepReplicas, silentOnPeers, pending, this::isRefused);
+  }
+
+  /**
+   * Whether replicas stay on a machine, as far as is known: at the first sign that its worker does
+   * not hear us room is looked for, long before the machine is given up.
+   */
+  private boolean canKeepReplicas(Machine machine) {
+    boolean isUncertain = machine.session.hasReported() && !machine.session.isReachable();
+    return isExpectedToServe(machine) && !isUncertain;
+  }
+
+  /**
+   * Rents for replicas that find room on no machine, however many there are by their number. Only
+   * what a second look finds as well: at the first one, starts may not be recorded yet.
+   */
+  void provisionForReplicas() {
+    ReplicaHeadroom.Assessment assessment = assessReplicas();
+    boolean isConfirmed =
+        assessment.unplacedServices().stream().anyMatch(unplacedAtLastCheck::contains)
+            || assessment.fullZones().stream().anyMatch(fullZonesAtLastCheck::contains);
+    unplacedAtLastCheck = assessment.unplacedServices();
+    fullZonesAtLastCheck = assessment.fullZones();
+    if (!isConfirmed) {
+      return;
+    }
+    assessment
+        .shortages()
+        .forEach(
+            (shortage, number) -> {
+              BlockClass machineClass = shortage.blockClass();
+              MachineType type = cluster.machineTypes.get(machineClass.flavour());
+              MachineCounts counts = countMachines(type.label());
+              int headroom =
+                  cluster.policy.rentalsMost(type) - counts.onDemandCount - counts.preemptibleCount;
+              int missing = Math.min(number, headroom);
+              if (missing > 0 && !requested.containsKey(machineClass)) {
+                LOG.info(
+                    "replicas of {} services find no room, zones {} have no more: {} more {}",
+                    assessment.unplacedServices().size(),
+                    assessment.fullZones(),
+                    missing,
+                    machineClass);
+                rentInZone(machineClass, missing, shortage.shard());
+              }
+            });
+  }
+
+  /** Whether the cloud has just refused machines of this class, or they could not be heard. */
+  private boolean isRefused(BlockClass machineClass) {
+    return refusedUntil.getOrDefault(machineClass, 0L) > cluster.now()
+        || zoneOutages.isCutOff(machineClass.hall());
+  }
+
+  /**
+   * Rents in all zones that have not just refused, evenly, so that one zone's loss takes few; false
+   * when every zone refused.
+   */
+  private boolean rentAcrossZones(MachineType type, boolean preemptible, int number) {
+    Map<String, Integer> machinesPerZone = new HashMap<>();
+    type.halls().forEach(zone -> machinesPerZone.put(zone, 0));
+    for (BlockIndex.Block block : cluster.blocks.all()) {
+      if (block.record().blockClass().lendable() == preemptible) {
+        int more = block.record().hosts().size();
+        machinesPerZone.computeIfPresent(block.record().blockClass().hall(), (zone, n) -> n + more);
+      }
+    }
+    List<String> availableZones =
+        type.halls().stream()
+            .filter(zone -> !isRefused(new BlockClass(type.label(), zone, preemptible)))
+            .sorted(Comparator.comparingInt(machinesPerZone::get))
+            .toList();
+    int remaining = number;
+    for (int i = 0; i < availableZones.size() && remaining > 0; i++) {
+      BlockClass machineClass = new BlockClass(type.label(), availableZones.get(i), preemptible);
+      int batch = (remaining + availableZones.size() - i - 1) / (availableZones.size() - i);
+      remaining -= batch;
+      if (!requested.containsKey(machineClass)) {
+        rentInZone(machineClass, batch, null);
+      }
+    }
+    return !availableZones.isEmpty();
+  }
+
+  /** Rents in one zone; the blocks go to the shard, if one is given. */
+  private void rentInZone(BlockClass machineClass, int number, String shard) {
+    requested.put(machineClass, number);
+    ObjectNode body =
+        Cbor.map()
+            .put("hire", membership.nextName())
+            .put("flavour", machineClass.flavour())
+            .put("hall", machineClass.hall())
+            .put("lendable", machineClass.lendable())
+            .put("number", Math.min(Constants.MAX_HIRE, number));
+    send(body, machineClass, shard, 0);
+  }
+
+  // ---- starved work ----
+
+  /** How much of a job was done or placed when it last moved on. */
+  private record Progress(int startedTasks, long sinceMs) {}
+
+  /**
+   * Machines may be enough by their number and yet useless to a job: in other zones than its own,
+   * or all of a class in another shard. What waits so long without progress gets one more.
+   */
+  void provisionForStarved() {
+    progress.keySet().retainAll(cluster.jobIndex.all().keySet());
+    for (Map.Entry<String, JobIndex.Job> entry : cluster.jobIndex.all().entrySet()) {
+      JobIndex.Job job = entry.getValue();
+      int startedTasks = job.doneCount() + job.placedCount();
+      Progress last = progress.get(entry.getKey());
+      if (last == null
+          || last.startedTasks != startedTasks
+          || (job.placedCount() >= job.runnableTasks() && cluster.misplacedReplicas(job) == 0)
+          || job.faulty()) {
+        progress.put(entry.getKey(), new Progress(startedTasks, cluster.now()));
+      } else if (cluster.now() - last.sinceMs > Constants.STARVED_MS) {
+        progress.put(entry.getKey(), new Progress(startedTasks, cluster.now()));
+        provisionFor(job);
+      }
+    }
+  }
+
+  private void provisionFor(JobIndex.Job job) {
+    JobSpec spec = job.spec;
+    MachineType type = demand.cheapestType(spec);
+    Settings.Team team = cluster.settings.teams().get(spec.owner());
+    if (type == null || team == null || demand.isCancelled(spec) || !cluster.needsMachines(spec)) {
+      return;
+    }
+    Room used = spec.room();
+    for (JobIndex.Job other : cluster.jobIndex.all().values()) {
+      if (other.spec.owner().equals(spec.owner())) {
+        used = used.plus(other.spec.room().times(other.placedCount()));
+      }
+    }
+    Demand.MachineDemand need =
+        demand.smoothedDemand().getOrDefault(type.label(), new Demand.MachineDemand());
+    MachineCounts counts = countMachines(type.label());
+    int total = counts.onDemandCount + counts.preemptibleCount;
+    boolean isEnough = total >= demand.onDemandTarget(type, need) + need.preemptible;
+    if (!isEnough || !used.fits(team.limit()) || total >= cluster.policy.rentalsMost(type)) {
+      return;
+    }
+    List<String> candidateZones = cluster.zonesFor(job, type);
+    String zone = candidateZones.get(cluster.env.random().nextInt(candidateZones.size()));
+    boolean preemptible =
+        cluster.allowsSpot(spec) && !isRefused(new BlockClass(type.label(), zone, true));
+    BlockClass machineClass = new BlockClass(type.label(), zone, preemptible);
+    if (!requested.containsKey(machineClass) && !isRefused(machineClass)) {
+      LOG.info(
+          "job {} makes no progress: one more {} in {} for it", spec.ref(), type.label(), zone);
+      rentInZone(machineClass, 1, job.shard);
+    }
+  }
+
+  /** Machines asked for and not yet answered. */
+  private int requestedCount(String type, boolean preemptible) {
+    return requested.entrySet().stream()
+        .filter(entry -> entry.getKey().flavour().equals(type))
+        .filter(entry -> entry.getKey().lendable() == preemptible)
+        .mapToInt(Map.Entry::getValue)
+        .sum();
+  }
+
+  private void send(ObjectNode body, BlockClass machineClass, String shard, int retries) {
+    cloud.call(
+        false,
+        "POST",
+        Wire.MACHINES,
+        body,
+        (status, answer) -> {
+          if (status == 0 && retries < Constants.HIRE_TRIES) {
+            // Without an answer it may have been carried out: only its own name may repeat it.
+            cluster.env.after(
+                Constants.HIRE_RETRY_MS, () -> send(body, machineClass, shard, retries + 1));
+            return;
+          }
+          requested.remove(machineClass);
+          if (status != 200 || answer == null) {
+            LOG.info("cloud refused {} of {}: {}", body.path("number"), machineClass, status);
+            boolean isOutOfCapacity =
+                answer != null && answer.path("error").asText().equals("no capacity");
+            refusedUntil.put(
+                machineClass,
+                cluster.now() + (isOutOfCapacity ? Constants.REFUSED_MS : Constants.SUPPLY_MS));
+            return;
+          }
+          try {
+            List<String> hosts = Fields.textsOrNull(answer, "hosts");
+            List<String> rented = hosts == null ? List.of() : hosts;
+            LOG.info(
+                "hired {} of {} {}: {}", rented.size(), body.path("number"), machineClass, rented);
+            discovery.adopt(rented, machineClass, cluster.env.wallMillis(), shard);
+            discovery.tick();
+          } catch (Malformed e) {
+            LOG.info("rental {}: {}", body.path("hire"), e.getMessage());
+          }
+        });
+  }
+}
--- a/src/main/java/dunlincroft/coordination/MachineReleaser.java
+++ b/src/main/java/dunlincroft/coordination/MachineReleaser.java
@@ -25,96 +25,101 @@
 final class MachineReleaser {
   private static final Logger LOG = LoggerFactory.getLogger(MachineReleaser.class);
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final ReportHandler reports;
   private final MachineProbe probe;
-  private final Cloud cloud;
+  private final CloudClient cloud;
   private final MachineDiscovery discovery;
   private final Consolidation consolidation;
-  private final ZoneOutageDetector zones;
-  private final Set<String> recording = new HashSet<>();
-  private boolean releasing;
-  private final long suspectMs;
+  private final ZoneOutageDetector zoneOutages;
+  private final Set<String> blocksInCommit = new HashSet<>();
+  private boolean isReleasing;
+  private final long suspectAfterMs;
 
   MachineReleaser(
-      ClusterState world,
+      ClusterState cluster,
       ReportHandler reports,
       MachineProbe probe,
-      Cloud cloud,
+      CloudClient cloud,
       MachineDiscovery discovery,
       Consolidation consolidation,
-      ZoneOutageDetector zones) {
-    this.world = world;
+      ZoneOutageDetector zoneOutages) {
+    this.cluster = cluster;
     this.reports = reports;
     this.probe = probe;
     this.cloud = cloud;
     this.discovery = discovery;
     this.consolidation = consolidation;
-    this.zones = zones;
-    this.suspectMs = world.reportIntervalsMs(Constants.SUSPECT_REPORTS);
+    this.zoneOutages = zoneOutages;
+    this.suspectAfterMs = cluster.reportIntervalsMs(Constants.SUSPECT_REPORTS);
   }
 
   void tick() {
-    zones.tick();
-    List<Machine> release = new ArrayList<>();
-    for (Machine machine : world.machines.values()) {
-      String why = whyRelease(machine);
-      boolean room = !releasing && release.size() < Constants.MAX_RELEASE;
-      if (why != null && machine.lifecycle == MachineLifecycle.IN_USE && room) {
+    zoneOutages.tick();
+    List<Machine> toRelease = new ArrayList<>();
+    for (Machine machine : cluster.machines.values()) {
+      String reason = releaseReason(machine);
+      boolean hasBatchSpace = !isReleasing && toRelease.size() < Constants.MAX_RELEASE;
+      if (reason != null && machine.lifecycle == MachineLifecycle.IN_USE && hasBatchSpace) {
         LOG.info(
-            "host {} is released: {}; {} tasks on it", machine.host, why, machine.placed.size());
-        world.metrics.count(Figures.Event.RELEASE);
-        release.add(machine);
+            "host {} is released: {}; {} tasks on it",
+            machine.host,
+            reason,
+            machine.placements.size());
+        cluster.metrics.count(Figures.Event.RELEASE);
+        toRelease.add(machine);
       }
     }
-    if (!release.isEmpty()) {
-      release(release);
+    if (!toRelease.isEmpty()) {
+      release(toRelease);
     }
     recordReleased();
   }
 
-  private String whyRelease(Machine machine) {
-    long silent = zones.silentMs(machine);
+  private String releaseReason(Machine machine) {
+    long silenceMs = zoneOutages.silentMs(machine);
     if (machine.blockStamp == 0) {
       return "no block names it";
     }
-    if ("failed".equals(machine.draining)) {
+    if ("failed".equals(machine.drainReason)) {
       return "failed";
     }
-    if (machine.draining != null && machine.empty() && machine.session.hasReported()) {
-      return machine.draining.equals(Consolidation.SURPLUS) && !consolidation.paid(machine)
+    if (machine.drainReason != null && machine.hasNoTasks() && machine.session.hasReported()) {
+      return machine.drainReason.equals(Consolidation.SURPLUS)
+              && !consolidation.isPastMinimumBilling(machine)
           ? null
-          : machine.draining;
+          : machine.drainReason;
     }
-    if (silent > suspectMs) {
+    if (silenceMs > suspectAfterMs) {
       if (machine.session.onSilence()) {
-        world.metrics.count(Figures.Event.SUSPECT);
-        LOG.info("host {} is suspected: silent for {} ms, asked directly", machine.host, silent);
+        cluster.metrics.count(Figures.Event.SUSPECT);
+        LOG.info("host {} is suspected: silent for {} ms, asked directly", machine.host, silenceMs);
       }
       probe.probe(machine);
     }
-    if (machine.session.hasReported() || !machine.placed.isEmpty()) {
-      return silent > zones.releaseAfterMs(machine) && zones.isAnyMachineReachable()
-          ? (machine.session.deaf() ? "deaf, without an answer for " : "silent for ")
-              + silent
+    if (machine.session.hasReported() || !machine.placements.isEmpty()) {
+      return silenceMs > zoneOutages.releaseAfterMs(machine) && zoneOutages.isAnyMachineReachable()
+          ? (machine.session.isUnreachable() ? "deaf, without an answer for " : "silent for ")
+              + silenceMs
               + " ms"
           : null;
     }
-    double startup = machine.type == null ? 60 : machine.type.startupS();
-    double boot = startup * 1000 * Constants.BOOT_FACTOR + Constants.BOOT_EXTRA_MS;
-    boolean late =
-        world.env.wallMillis() - machine.hiredAtWall > boot && silent > Constants.BOOT_EXTRA_MS;
-    return late ? "never came up" : null;
+    double usualBootS = machine.type == null ? 60 : machine.type.startupS();
+    double bootTimeoutMs = usualBootS * 1000 * Constants.BOOT_FACTOR + Constants.BOOT_EXTRA_MS;
+    boolean isOverdue =
+        cluster.env.wallMillis() - machine.rentedAtWallMs > bootTimeoutMs
+            && silenceMs > Constants.BOOT_EXTRA_MS;
+    return isOverdue ? "never came up" : null;
   }
 
   private void release(List<Machine> machines) {
-    releasing = true;
+    isReleasing = true;
     ObjectNode body = Cbor.map();
     for (Machine machine : machines) {
       machine.lifecycle = machine.lifecycle.onReleaseAsked();
-      machine.draining = machine.draining == null ? "released" : machine.draining;
+      machine.drainReason = machine.drainReason == null ? "released" : machine.drainReason;
       body.withArray("hosts").add(machine.host);
-      discovery.gone(machine.host);
+      discovery.markReleased(machine.host);
     }
     cloud.call(
         true,
@@ -122,10 +127,10 @@
         Wire.RELEASE,
         body,
         (status, answer) -> {
-          releasing = false;
+          isReleasing = false;
           for (Machine machine : machines) {
             if (status == 200) {
-              released(machine); // It stays unusable until its block shows it no longer.
+              onReleased(machine); // It stays unusable until its block shows it no longer.
             } else {
               machine.lifecycle = machine.lifecycle.onReleaseFailed();
             }
@@ -138,16 +143,16 @@
   }
 
   /** The cloud's word: the machine and all that was on it are gone. */
-  private void released(Machine machine) {
+  private void onReleased(Machine machine) {
     if (machine.lifecycle == MachineLifecycle.DROPPED) {
       return;
     }
-    for (Placement p : List.copyOf(machine.placed.values())) {
-      reports.clear(p, "released");
+    for (Placement placement : List.copyOf(machine.placements.values())) {
+      reports.clear(placement, "released");
     }
     machine.lifecycle = machine.lifecycle.onReleaseConfirmed();
-    if (machine.blockStamp == 0 || world.blocks.blockOf(machine.host) == null) {
-      world.onMachineReleased(machine);
+    if (machine.blockStamp == 0 || cluster.blocks.blockOf(machine.host) == null) {
+      cluster.onMachineReleased(machine);
     }
   }
 
@@ -155,36 +160,36 @@
    * Takes released machines out of their blocks: a change for each block, however many they are.
    */
   private void recordReleased() {
-    Map<BlockIndex.Block, List<String>> gone = new LinkedHashMap<>();
-    for (Machine machine : world.machines.values()) {
+    Map<BlockIndex.Block, List<String>> releasedHosts = new LinkedHashMap<>();
+    for (Machine machine : cluster.machines.values()) {
       BlockIndex.Block block =
           machine.lifecycle == MachineLifecycle.RELEASED
-              ? world.blocks.blockOf(machine.host)
+              ? cluster.blocks.blockOf(machine.host)
               : null;
-      if (block != null && !recording.contains(block.name())) {
-        gone.computeIfAbsent(block, b -> new ArrayList<>()).add(machine.host);
+      if (block != null && !blocksInCommit.contains(block.name())) {
+        releasedHosts.computeIfAbsent(block, b -> new ArrayList<>()).add(machine.host);
       }
     }
-    gone.forEach(
+    releasedHosts.forEach(
         (block, hosts) -> {
           String shard = block.record().shard();
           String key = Wire.key(Replica.BLOCKS, block.name());
-          BlockRecord left = block.record().without(hosts);
+          BlockRecord remaining = block.record().without(hosts);
           Txn txn =
               new Txn()
-                  .guard(Wire.key(Replica.SHARDS, shard), world.ownedShards.getLong(shard))
+                  .guard(Wire.key(Replica.SHARDS, shard), cluster.ownedShards.getLong(shard))
                   .guard(key, block.stamp());
-          if (left.hosts().isEmpty()) {
+          if (remaining.hosts().isEmpty()) {
             txn.remove(key);
           } else {
-            txn.put(key, left.toNode());
+            txn.put(key, remaining.toNode());
           }
-          recording.add(block.name());
-          world.store.commit(
+          blocksInCommit.add(block.name());
+          cluster.store.commit(
               Urgency.HANDS,
               txn,
               result -> {
-                recording.remove(block.name());
+                blocksInCommit.remove(block.name());
                 LOG.debug(
                     "{} released machines leave block {}: {}",
                     hosts.size(),
--- a/src/main/java/dunlincroft/coordination/MachineSession.java
+++ b/src/main/java/dunlincroft/coordination/MachineSession.java
@@ -13,32 +13,32 @@
     /** No report has reached this owner yet. */
     UNREPORTED,
     /** Its newest report or answer shows that it hears us. */
-    HEARS,
+    REACHABLE,
     /**
      * A sign that it does not hear us, while its reports may arrive: nothing new starts there, and
      * its reports alone do not prolong its time, until it answers a question or reports in order.
      */
-    UNSURE,
+    UNCERTAIN,
     /** It did not answer a question since that sign, either. */
-    DEAF;
+    UNREACHABLE;
 
     State onReport() {
-      return HEARS;
+      return REACHABLE;
     }
 
     /** An answer to a question or command that is not newer than the newest report. */
     State onAnswer() {
-      return this == UNREPORTED ? UNREPORTED : HEARS;
+      return this == UNREPORTED ? UNREPORTED : REACHABLE;
     }
 
     /** A report, or a command without an answer, shows that it may not hear us. */
     State onMissedAnswer() {
-      return this == HEARS ? UNSURE : this;
+      return this == REACHABLE ? UNCERTAIN : this;
     }
 
     /** A question got no answer. */
     State onNoAnswer() {
-      return this == UNSURE ? DEAF : this;
+      return this == UNCERTAIN ? UNREACHABLE : this;
     }
   }
 
@@ -46,12 +46,12 @@
   private static final long NO_FENCE = 0;
 
   private State state = State.UNREPORTED;
-  private long deafSinceMs = NEVER;
-  private boolean suspected;
+  private long unreachableSinceMs = NEVER;
+  private boolean isSuspected;
   private long lastHeardMs;
 
   /** What the newest report said. */
-  private long tenure;
+  private long sessionNumber;
 
   private long counter;
   private long fenceSeen;
@@ -66,7 +66,7 @@
   private long unresolvedFence = NO_FENCE;
 
   /** When a direct command was last given up. */
-  private long commandLostMs = NEVER;
+  private long commandAbandonedMs = NEVER;
 
   /** What our last answer to a report of its said, and when: a later one must know of it. */
   private long answeredFence;
@@ -74,10 +74,10 @@
   private long answeredMs = NEVER;
 
   /** That answer carried starts: until the next report they may be on their way. */
-  private boolean startsAnswered;
+  private boolean hasStartsInFlight;
 
-  private boolean commandOut;
-  private boolean probing;
+  private boolean isCommandInFlight;
+  private boolean isProbeInFlight;
 
   MachineSession(long nowMs) {
     this.lastHeardMs = nowMs;
@@ -93,24 +93,24 @@
     return state != State.UNREPORTED;
   }
 
-  boolean hears() {
-    return state == State.HEARS;
+  boolean isReachable() {
+    return state == State.REACHABLE;
   }
 
-  boolean deaf() {
-    return state == State.DEAF;
+  boolean isUnreachable() {
+    return state == State.UNREACHABLE;
   }
 
-  long deafSinceMs() {
-    return deafSinceMs;
+  long unreachableSinceMs() {
+    return unreachableSinceMs;
   }
 
   long lastHeardMs() {
     return lastHeardMs;
   }
 
-  long tenure() {
-    return tenure;
+  long sessionNumber() {
+    return sessionNumber;
   }
 
   long counter() {
@@ -125,18 +125,18 @@
     return firstFence;
   }
 
-  boolean commandOut() {
-    return commandOut;
+  boolean isCommandInFlight() {
+    return isCommandInFlight;
   }
 
-  boolean probing() {
-    return probing;
+  boolean isProbeInFlight() {
+    return isProbeInFlight;
   }
 
   /**
    * Whether the worker has seen our fence, so that its word is not about a former owner's order.
    */
-  boolean obeysUs() {
+  boolean hasSeenOurFence() {
     return fenceSeen >= firstFence;
   }
 
@@ -150,8 +150,8 @@
   }
 
   /** Whether a direct command was given up since the worker was last heard. */
-  boolean lostCommandSinceHeard() {
-    return lastHeardMs <= commandLostMs;
+  boolean hasAbandonedCommandSinceHeard() {
+    return lastHeardMs <= commandAbandonedMs;
   }
 
   /**
@@ -159,12 +159,12 @@
    * seen our fence, every direct call under it was answered, and no answer to a hello with starts
    * may still be on its way.
    */
-  boolean provenAbsent() {
-    return obeysUs() && !hasUnresolvedCommand() && !startsAnswered && !commandOut;
+  boolean isAbsenceProven() {
+    return hasSeenOurFence() && !hasUnresolvedCommand() && !hasStartsInFlight && !isCommandInFlight;
   }
 
   boolean isNewer(WorkerReport report) {
-    return report.after(tenure, counter);
+    return report.after(sessionNumber, counter);
   }
 
   /**
@@ -172,15 +172,15 @@
    * seen the fence that this said, its lease has ended although this renewed it, or it has reported
    * elsewhere since, which nobody does who was answered.
    */
-  boolean missedOurAnswer(WorkerReport report, long nowMs, double leaseMs) {
+  boolean hasMissedOurAnswer(WorkerReport report, long nowMs, double leaseMs) {
     if (answeredMs < 0) {
       return false;
     }
-    if (report.tenure() > tenure) {
+    if (report.tenure() > sessionNumber) {
       return nowMs - answeredMs < leaseMs;
     }
     return report.fence() < answeredFence
-        || (report.counter() > counter + 1 && !commandOut && !probing);
+        || (report.counter() > counter + 1 && !isCommandInFlight && !isProbeInFlight);
   }
 
   // ---- what happens ----
@@ -193,9 +193,9 @@
   /** A report came that is newer than those before. */
   void onReport(WorkerReport report, long nowMs) {
     state = state.onReport();
-    deafSinceMs = NEVER;
-    suspected = false;
-    tenure = report.tenure();
+    unreachableSinceMs = NEVER;
+    isSuspected = false;
+    sessionNumber = report.tenure();
     counter = report.counter();
     fenceSeen = report.fence();
     lastHeardMs = nowMs;
@@ -207,7 +207,7 @@
   /** An answer came that a newer report has overtaken. */
   void onAnswer() {
     state = state.onAnswer();
-    deafSinceMs = NEVER;
+    unreachableSinceMs = NEVER;
   }
 
   /** A sign that the worker does not hear us. */
@@ -216,8 +216,8 @@
   }
 
   /** A report does not prolong the worker's time: it may not hear us. */
-  void discountReport(long heardBeforeMs) {
-    lastHeardMs = heardBeforeMs;
+  void discountReport(long previousHeardMs) {
+    lastHeardMs = previousHeardMs;
   }
 
   /** A question got no answer. Returns whether the worker is taken for deaf by that. */
@@ -227,7 +227,7 @@
     if (state == before) {
       return false;
     }
-    deafSinceMs = nowMs;
+    unreachableSinceMs = nowMs;
     return true;
   }
 
@@ -238,7 +238,7 @@
   void onRestart(long fence) {
     firstFence = fence + 1;
     unresolvedFence = fence;
-    startsAnswered = false;
+    hasStartsInFlight = false;
     answeredMs = NEVER;
     answeredFence = NO_FENCE;
   }
@@ -248,24 +248,24 @@
    * whether that answer carried starts.
    */
   boolean onAnswerSettled() {
-    boolean carried = startsAnswered;
-    startsAnswered = false;
-    return carried;
+    boolean hadStarts = hasStartsInFlight;
+    hasStartsInFlight = false;
+    return hadStarts;
   }
 
   /** We answer a report. */
-  void onAnswered(long fence, boolean starts, long nowMs) {
+  void onAnswered(long fence, boolean hasStarts, long nowMs) {
     answeredFence = fence;
     answeredMs = nowMs;
-    startsAnswered = starts;
+    hasStartsInFlight = hasStarts;
   }
 
-  void onProbe(boolean out) {
-    probing = out;
+  void setProbeInFlight(boolean inFlight) {
+    isProbeInFlight = inFlight;
   }
 
-  void onCommand(boolean out) {
-    commandOut = out;
+  void setCommandInFlight(boolean inFlight) {
+    isCommandInFlight = inFlight;
   }
 
   /** A command under a fence left and got no answer: it may be executed as long as that stays. */
@@ -274,15 +274,15 @@
   }
 
   /** A command was given up: until it is heard again the worker is left to its reports. */
-  void onCommandLost(long nowMs) {
-    commandLostMs = nowMs;
+  void onCommandAbandoned(long nowMs) {
+    commandAbandonedMs = nowMs;
   }
 
   /** The worker was silent for too long. Returns whether this is new. */
   boolean onSilence() {
-    boolean fresh = hasReported() && !suspected;
-    suspected |= fresh;
-    return fresh;
+    boolean isNew = hasReported() && !isSuspected;
+    isSuspected |= isNew;
+    return isNew;
   }
 
   /** We could not hear anybody for so long: that time is no silence of the worker's. */
--- a/src/main/java/dunlincroft/coordination/ReportHandler.java
+++ b/src/main/java/dunlincroft/coordination/ReportHandler.java
@@ -35,14 +35,14 @@
   /** What follows if a machine hears that did not before. */
   private void hears(Machine machine) {
     switch (machine.session.state()) {
-      case UNREPORTED, HEARS -> {}
-      case UNSURE -> world.placementDue = true;
-      case DEAF -> {
+      case UNREPORTED, REACHABLE -> {}
+      case UNCERTAIN -> world.placementDue = true;
+      case UNREACHABLE -> {
         world.placementDue = true;
         LOG.info(
             "host {} hears us again, after {} ms",
             machine.host,
-            world.now() - machine.session.deafSinceMs());
+            world.now() - machine.session.unreachableSinceMs());
       }
     }
   }
@@ -53,22 +53,22 @@
       LOG.info(
           "host {} ({} {} {}) reports to us",
           machine.host,
-          machine.flavour,
-          machine.hall,
-          machine.lendable ? "spot" : "ordinary");
+          machine.typeLabel,
+          machine.zone,
+          machine.preemptible ? "spot" : "ordinary");
       world.placementDue = true;
     }
     hears(machine);
     machine.session.onReport(report, world.now());
     machine.endpoint = report.endpoint();
-    if (report.warningS() != WorkerReport.NO_WARNING && machine.draining == null) {
+    if (report.warningS() != WorkerReport.NO_WARNING && machine.drainReason == null) {
       warned(machine, report.warningS());
     }
-    machine.pieces = report.pieces();
-    machine.placed.values().forEach(p -> p.inLastReport = false);
+    machine.reportedTasks = report.pieces();
+    machine.placements.values().forEach(p -> p.inLastReport = false);
     Room orphans = Room.NONE;
     for (Piece piece : report.pieces()) {
-      Placement p = machine.placed.get(piece.id());
+      Placement p = machine.placements.get(piece.id());
       if (p != null && p.attempt == piece.attempt()) {
         p.inLastReport = true;
         show(machine, p, piece);
@@ -81,27 +81,27 @@
         }
       }
     }
-    machine.orphans = orphans;
-    for (Placement p : List.copyOf(machine.placed.values())) {
+    machine.orphanedResources = orphans;
+    for (Placement p : List.copyOf(machine.placements.values())) {
       if (!p.inLastReport) {
         p.reportedStatus = null;
-        if (p.stopRequested && machine.session.provenAbsent()) {
+        if (p.stopRequested && machine.session.isAbsenceProven()) {
           clear(p, "not on the machine");
         }
       }
     }
-    if (machine.empty() && machine.idleSince < 0) {
-      machine.idleSince = world.now();
-    } else if (!machine.empty()) {
-      machine.idleSince = -1;
+    if (machine.hasNoTasks() && machine.idleSinceMs < 0) {
+      machine.idleSinceMs = world.now();
+    } else if (!machine.hasNoTasks()) {
+      machine.idleSinceMs = -1;
     }
   }
 
   private void warned(Machine machine, double warningS) {
     LOG.info("host {} will be taken in {} s: draining", machine.host, warningS);
-    machine.draining = "notice";
+    machine.drainReason = "notice";
     world.placementDue = true;
-    for (Placement p : machine.placed.values()) {
+    for (Placement p : machine.placements.values()) {
       double left = p.job.spec.expectS() - (world.now() - p.placedAtMs) / 1000.0;
       // A notice may be half as long as it says; what will not end in that time moves at once.
       if (left > warningS / 2) {
@@ -117,26 +117,26 @@
     p.orderSent = true;
     if (!piece.exited()) {
       if (started && piece.status().equals(Wire.RUNNING)) {
-        machine.imageThere(p.job.spec.bundle());
+        machine.markImageCached(p.job.spec.bundle());
         p.runningSinceMs = world.now();
         world.metrics.started(p, world.now());
       } else if (piece.status().equals(Wire.RUNNING)
           && world.now() - p.runningSinceMs > Constants.RAN_MS) {
-        faults.ranWell(p);
+        faults.onRanWell(p);
       }
       return;
     }
-    if (!machine.session.obeysUs()) {
+    if (!machine.session.hasSeenOurFence()) {
       // A holder before us may still order this try, and the worker would obey once its session
       // has changed. Until the worker has seen our fence, its word is not the last one.
       return;
     }
     String cause = piece.cause() == null ? "" : piece.cause();
     if (cause.equals(Wire.DONE) && !p.job.spec.daemon()) {
-      machine.imageThere(p.job.spec.bundle());
-      machine.failures = 0;
+      machine.markImageCached(p.job.spec.bundle());
+      machine.consecutiveFailures = 0;
       machine.failedJobs.clear();
-      faults.ranWell(p);
+      faults.onRanWell(p);
       if (p.runningSinceMs > 0) {
         world.conditions.onTaskFinished(p.job.spec, (world.now() - p.runningSinceMs) / 1000.0);
       }
@@ -152,9 +152,9 @@
         return;
       }
       if (cause.equals(Wire.FULL)) {
-        machine.doubtUntil = world.now() + Constants.DOUBT_MS;
+        machine.avoidUntilMs = world.now() + Constants.DOUBT_MS;
       } else if (!cause.equals(Wire.STOPPED)) {
-        faults.failed(machine, p);
+        faults.onFailure(machine, p);
       }
       clear(p, cause);
     }
--- a/src/main/java/dunlincroft/coordination/Ring.java
+++ b/src/main/java/dunlincroft/coordination/Ring.java
@@ -27,7 +27,7 @@
     machineIndexAt = new long[ringPoints.length];
     int next = 0;
     for (int machineIndex = 0; machineIndex < this.machines.size(); machineIndex++) {
-      for (long point : this.machines.get(machineIndex).points) {
+      for (long point : this.machines.get(machineIndex).ringPoints) {
         ringPoints[next] = point;
         machineIndexAt[next++] = machineIndex;
       }
--- a/src/main/java/dunlincroft/coordination/Scheduler.java
+++ b/src/main/java/dunlincroft/coordination/Scheduler.java
@@ -5,7 +5,7 @@
 import dunlincroft.bookkeeping.JobIndex;
 import dunlincroft.bookkeeping.Replica;
 import dunlincroft.conditions.MigrationSides;
-import dunlincroft.coordination.Machine.Warmth;
+import dunlincroft.coordination.Machine.ImageState;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.JobSpec.Rank;
 import dunlincroft.protocol.Room;
@@ -156,11 +156,11 @@
     }
     anyMachineAvailable = false;
     for (Machine machine : cluster.machines.values()) {
-      machine.open =
+      machine.isCandidate =
           machine.type != null
-              && machine.mayHave(smallest, cluster.reservedCpu(machine, true))
+              && machine.mayFit(smallest, cluster.reservedCpu(machine, true))
               && cluster.isUsable(machine, roundStartMs);
-      anyMachineAvailable |= machine.open;
+      anyMachineAvailable |= machine.isCandidate;
     }
   }
 
@@ -260,7 +260,7 @@
 
   /** Free capacity for a job's tasks on a machine, or null if the machine is not suitable. */
   private Room usableCapacity(JobRun job, Machine machine) {
-    return machine.mayHave(job.spec.room(), reservedCpu(job, machine)) && isSuitable(job, machine)
+    return machine.mayFit(job.spec.room(), reservedCpu(job, machine)) && isSuitable(job, machine)
         ? freeCapacity(job, machine)
         : null;
   }
@@ -345,7 +345,7 @@
     int placed = 0;
     if (job.spec.samePlace() && job.spec.pieces() > 1) {
       String zone = commonZone(job, ordered);
-      ordered = ordered.stream().filter(machine -> machine.hall.equals(zone)).toList();
+      ordered = ordered.stream().filter(machine -> machine.zone.equals(zone)).toList();
     }
     if (job.spec.spread() && job.spec.pieces() > 1) {
       Collection<List<Machine>> groups = groupByImageState(job, ordered);
@@ -375,10 +375,10 @@
    * some time.
    */
   private Collection<List<Machine>> groupByImageState(JobRun job, List<Machine> ordered) {
-    Map<Warmth, List<Machine>> groups = new EnumMap<>(Warmth.class);
+    Map<ImageState, List<Machine>> groups = new EnumMap<>(ImageState.class);
     for (Machine machine : ordered) {
-      Warmth imageState = machine.warmth(job.spec.bundle());
-      if (imageState != Warmth.CROWDED || mayStartConcurrentFetch(job)) {
+      ImageState imageState = machine.imageState(job.spec.bundle());
+      if (imageState != ImageState.CONTENDED || mayStartConcurrentFetch(job)) {
         groups.computeIfAbsent(imageState, w -> new ArrayList<>()).add(machine);
       }
     }
@@ -397,16 +397,17 @@
     List<Machine> acceptable = new ArrayList<>();
     List<Machine> lastResort = new ArrayList<>();
     for (Machine machine : cluster.preferenceList(job.spec.bundle())) {
-      Room free = machine.open ? usableCapacity(job, machine) : null;
+      Room free = machine.isCandidate ? usableCapacity(job, machine) : null;
       if (free == null || !job.spec.room().fits(free)) {
         continue;
       }
       if (job.spec.daemon()) {
-        boolean leavesFailoverCapacity = machine.leavesRoomForAZone(job.spec.room());
-        (!machine.hasDaemon() ? acceptable : leavesFailoverCapacity ? preferred : lastResort)
+        boolean leavesFailoverCapacity = machine.leavesZoneFailoverCapacity(job.spec.room());
+        (!machine.hasService() ? acceptable : leavesFailoverCapacity ? preferred : lastResort)
             .add(machine);
       } else if (spot) {
-        (machine.lendable ? preferred : machine.hasDaemon() ? lastResort : acceptable).add(machine);
+        (machine.preemptible ? preferred : machine.hasService() ? lastResort : acceptable)
+            .add(machine);
       } else {
         preferred.add(machine);
       }
@@ -445,7 +446,7 @@
                   (long) (perTask.gpu() * bufferFraction),
                   (long) (perTask.ram() * bufferFraction)));
     }
-    int zoneLimit = job.spec.zoneMost() - job.perZone.getInt(machine.hall);
+    int zoneLimit = job.spec.zoneMost() - job.perZone.getInt(machine.zone);
     int fitting = job.spec.room().countIn(free, Math.min(maxTasks, zoneLimit));
     if (fitting <= 0) {
       return 0;
@@ -456,7 +457,7 @@
       task = job.nextWaiting(task);
       Placement placement = new Placement(job, task, machine, attempt, now);
       job.place(placement);
-      machine.idleSince = -1;
+      machine.idleSinceMs = -1;
       placementLog.dirty(job, task, true);
       LOG.debug("{} try {} placed on host {}", placement.taskName(), attempt, machine.host);
     }
@@ -471,14 +472,14 @@
     List<String> zones =
         groups.stream()
             .flatMap(List::stream)
-            .map(machine -> machine.hall)
+            .map(machine -> machine.zone)
             .distinct()
             .sorted(Comparator.comparingInt(job.perZone::getInt))
             .toList();
     for (List<Machine> machineGroup : groups) {
       for (String zone : zones) {
         for (Machine machine : machineGroup) {
-          if (machine.hall.equals(zone) && fill(job, machine, 1, false, now) == 1) {
+          if (machine.zone.equals(zone) && fill(job, machine, 1, false, now) == 1) {
             return true;
           }
         }
@@ -490,16 +491,16 @@
   /** The zone of the job's placed tasks, or the zone in which most of its tasks fit. */
   private String commonZone(JobRun job, List<Machine> ordered) {
     for (Placement p : job.placed.values()) {
-      return p.machine.hall;
+      return p.machine.zone;
     }
     Map<String, Integer> tasksPerZone = new HashMap<>();
-    String best = ordered.get(0).hall;
+    String best = ordered.get(0).zone;
     for (Machine machine : ordered) {
       Room free = usableCapacity(job, machine);
       int tasksHere = free == null ? 0 : job.spec.room().countIn(free, job.spec.pieces());
-      tasksPerZone.merge(machine.hall, tasksHere, Integer::sum);
-      if (tasksPerZone.get(machine.hall) > tasksPerZone.getOrDefault(best, 0)) {
-        best = machine.hall;
+      tasksPerZone.merge(machine.zone, tasksHere, Integer::sum);
+      if (tasksPerZone.get(machine.zone) > tasksPerZone.getOrDefault(best, 0)) {
+        best = machine.zone;
       }
     }
     return best;
@@ -569,7 +570,7 @@
     int remaining = tasksNeeded;
     for (Machine machine : cluster.machines.values()) {
       if (remaining > 0
-          && (zone == null || machine.hall.equals(zone))
+          && (zone == null || machine.zone.equals(zone))
           && isSuitable(job, machine)) {
         remaining -=
             addEvictions(
@@ -635,14 +636,14 @@
       long now,
       int maxTasks,
       PriorityQueue<Eviction> bestEvictions) {
-    Warmth imageState = machine.warmth(job.spec.bundle());
-    if (imageState == Warmth.CROWDED && !mayStartConcurrentFetch(job)) {
+    ImageState imageState = machine.imageState(job.spec.bundle());
+    if (imageState == ImageState.CONTENDED && !mayStartConcurrentFetch(job)) {
       return 0;
     }
     Room taskResources = job.spec.room();
     Room free = freeCapacity(job, machine).minus(reservations.reservedOn(machine));
     List<Placement> victims = new ArrayList<>();
-    for (Placement p : machine.placed.values()) {
+    for (Placement p : machine.placements.values()) {
       if (p.stopRequested) {
         free = free.plus(p.job.spec.room());
       } else if (mayPreempt(job, guaranteed, p, guaranteedIds, now)) {
@@ -664,7 +665,7 @@
       totalLostMs += lostWorkMs(p, now);
       free = free.plus(p.job.spec.room());
       if (taskResources.fits(free)) {
-        long cost = cost(job, p.job.spec.rank(), imageState == Warmth.WARM, totalLostMs);
+        long cost = cost(job, p.job.spec.rank(), imageState == ImageState.CACHED, totalLostMs);
         if (bestEvictions.size() < maxTasks || cost < bestEvictions.peek().cost) {
           bestEvictions.add(new Eviction(List.copyOf(victimGroup), cost));
           if (bestEvictions.size() > maxTasks) {
--- a/src/main/java/dunlincroft/coordination/StartConditions.java
+++ b/src/main/java/dunlincroft/coordination/StartConditions.java
@@ -89,8 +89,8 @@
     boolean found = false;
     for (Machine machine : cluster.machines.values()) {
       boolean zoneAllowed =
-          machine.hall.equals(p.machine.hall)
-              || job.perZone.getInt(machine.hall) < job.spec.zoneMost();
+          machine.zone.equals(p.machine.zone)
+              || job.perZone.getInt(machine.zone) < job.spec.zoneMost();
       found |=
           zoneAllowed
               && cluster.isUsable(machine)
--- a/src/main/java/dunlincroft/coordination/StatusQuery.java
+++ b/src/main/java/dunlincroft/coordination/StatusQuery.java
@@ -12,7 +12,7 @@
   /** What came back from the address at which the worker of a host was asked. */
   record Answer(String host, Reply reply) {
     /** Whether anybody answered, if only with a body that names another host. */
-    boolean arrived() {
+    boolean hasArrived() {
       return reply.status() == 200;
     }
 
@@ -25,9 +25,9 @@
   private StatusQuery() {}
 
   /** Asks once; {@code then} gets the answer, also when there is none. */
-  static void ask(Env env, String host, String endpoint, Consumer<Answer> then) {
+  static void query(Env env, String host, String endpoint, Consumer<Answer> onAnswer) {
     env.call(
         new Env.Call(endpoint, "GET", Wire.STATUS, null, Constants.WORKER_CALL_MS),
-        reply -> then.accept(new Answer(host, reply)));
+        reply -> onAnswer.accept(new Answer(host, reply)));
   }
 }
--- a/src/main/java/dunlincroft/coordination/WorkerOrders.java
+++ b/src/main/java/dunlincroft/coordination/WorkerOrders.java
@@ -17,107 +17,110 @@
 final class WorkerOrders {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerOrders.class);
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final FenceRaiser fences;
 
   /** Sends a machine's orders straight away, once starts that waited may leave. */
-  private Consumer<Machine> push = machine -> {};
+  private Consumer<Machine> startsDueListener = machine -> {};
 
-  WorkerOrders(ClusterState world, FenceRaiser fences) {
-    this.world = world;
+  WorkerOrders(ClusterState cluster, FenceRaiser fences) {
+    this.cluster = cluster;
     this.fences = fences;
   }
 
-  void onStartsDue(Consumer<Machine> push) {
-    this.push = push;
+  void setStartsDueListener(Consumer<Machine> listener) {
+    this.startsDueListener = listener;
   }
 
   /**
    * What the worker must be told, given its last report and the records. Starts under a condition
    * go into answers to reports alone: these are never executed late, as direct orders may be.
    */
-  List<Order> forMachine(Machine machine, long fence, boolean direct) {
+  List<Order> forMachine(Machine machine, long fence, boolean isDirect) {
     List<Order> orders = new ArrayList<>();
-    boolean proven = machine.session.provenAbsent();
-    boolean wantsProof = false;
-    for (Piece piece : machine.pieces) {
-      Placement p = machine.placed.get(piece.id());
-      if (p != null && p.attempt == piece.attempt()) {
-        wantsProof |= piece.exited();
-        if (p.stopRequested && !piece.exited()) {
-          boolean again = piece.status().equals(Wire.SAVING);
-          if (!again || p.job.stopMode() == JobRun.StopMode.ABANDON) {
-            orders.add(Order.kill(piece.id(), piece.attempt(), again ? 0 : p.stopGraceS()));
+    boolean absenceProven = machine.session.isAbsenceProven();
+    boolean needsProof = false;
+    for (Piece reported : machine.reportedTasks) {
+      Placement placement = machine.placements.get(reported.id());
+      if (placement != null && placement.attempt == reported.attempt()) {
+        needsProof |= reported.exited();
+        if (placement.stopRequested && !reported.exited()) {
+          boolean isSaving = reported.status().equals(Wire.SAVING);
+          if (!isSaving || placement.job.stopMode() == JobRun.StopMode.ABANDON) {
+            orders.add(
+                Order.kill(
+                    reported.id(), reported.attempt(), isSaving ? 0 : placement.stopGraceS()));
           }
         }
         continue;
       }
-      if (!world.feed.synced() || unsettled(piece)) {
+      if (!cluster.feed.synced() || hasUnsettledRecord(reported)) {
         continue;
       }
-      if (!piece.exited()) {
+      if (!reported.exited()) {
         LOG.info(
             "host {} runs {} try {} that no record names: stopped",
             machine.host,
-            piece.id(),
-            piece.attempt());
-        orders.add(Order.kill(piece.id(), piece.attempt(), 0));
-      } else if (proven) {
+            reported.id(),
+            reported.attempt());
+        orders.add(Order.kill(reported.id(), reported.attempt(), 0));
+      } else if (absenceProven) {
         // Once reaped a late run of the same try would start it anew; hence the proof.
-        orders.add(Order.reap(piece.id(), piece.attempt()));
+        orders.add(Order.reap(reported.id(), reported.attempt()));
       } else {
-        wantsProof = true;
+        needsProof = true;
       }
     }
-    for (Placement p : machine.placed.values()) {
-      if (p.recorded && !p.inLastReport) {
-        if (!p.stopRequested) {
-          if (world.feed.stalenessMs() > Constants.STALE_MS) {
+    for (Placement placement : machine.placements.values()) {
+      if (placement.recorded && !placement.inLastReport) {
+        if (!placement.stopRequested) {
+          if (cluster.feed.stalenessMs() > Constants.STALE_MS) {
             continue; // Out of touch: what runs goes on, nothing starts.
           }
-          if (fence > world.replica.revision()) {
+          if (fence > cluster.replica.revision()) {
             // No start leaves under a fence above a cancellation that we have not read.
-            startSoon(machine);
+            deferStarts(machine);
             continue;
           }
-          if (p.job.strict && (direct || world.conditions.cutOffAction(p.job.spec) != null)) {
+          if (placement.job.strict
+              && (isDirect || cluster.conditions.cutOffAction(placement.job.spec) != null)) {
             continue;
           }
-          p.orderSent = true;
-          orders.add(Order.run(p.taskName(), p.attempt));
+          placement.orderSent = true;
+          orders.add(Order.run(placement.taskName(), placement.attempt));
         } else {
-          wantsProof |= !proven;
+          needsProof |= !absenceProven;
         }
       }
     }
     if (machine.session.firstFence() > fence
-        || (wantsProof && machine.session.isUnresolved(fence))) {
+        || (needsProof && machine.session.isUnresolved(fence))) {
       fences.raise(machine);
     }
     return orders.size() > Constants.MAX_ORDERS ? orders.subList(0, Constants.MAX_ORDERS) : orders;
   }
 
   /** Its fence is a write of our own, ahead of what we have read: a moment more. */
-  private void startSoon(Machine machine) {
-    if (!machine.startsSoon) {
-      machine.startsSoon = true;
-      world.env.after(
+  private void deferStarts(Machine machine) {
+    if (!machine.hasDeferredStarts) {
+      machine.hasDeferredStarts = true;
+      cluster.env.after(
           Constants.PLACE_MS,
           () -> {
-            machine.startsSoon = false;
-            if (world.machines.get(machine.host) == machine) {
-              push.accept(machine);
+            machine.hasDeferredStarts = false;
+            if (cluster.machines.get(machine.host) == machine) {
+              startsDueListener.accept(machine);
             }
           });
     }
   }
 
   /** A record about this task is on its way, or belongs to a shard of another node. */
-  private boolean unsettled(Piece piece) {
-    JobRun job = world.jobs.get(piece.job());
+  private boolean hasUnsettledRecord(Piece reported) {
+    JobRun job = cluster.jobs.get(reported.job());
     if (job == null) {
-      return world.jobIndex.get(piece.job()) != null;
+      return cluster.jobIndex.get(reported.job()) != null;
     }
-    return piece.task() >= job.spec.pieces() || !job.record.clean(piece.task());
+    return reported.task() >= job.spec.pieces() || !job.record.clean(reported.task());
   }
 }
--- a/src/main/java/dunlincroft/coordination/WorkerProtocol.java
+++ b/src/main/java/dunlincroft/coordination/WorkerProtocol.java
@@ -8,15 +8,15 @@
   final HeartbeatHandler heartbeats;
   final FenceRaiser fences;
 
-  WorkerProtocol(ClusterState world, Ledger ledger) {
-    fences = new FenceRaiser(world);
-    WorkerOrders orders = new WorkerOrders(world, fences);
-    reports = new ReportHandler(world, ledger, new FaultAttribution(world, ledger));
-    AnswerHandler answers = new AnswerHandler(world, reports, fences);
-    probe = new MachineProbe(world, answers);
-    commands = new DirectCommands(world, orders, answers, probe);
-    probe.onAnswer(commands::push);
-    orders.onStartsDue(commands::push);
-    heartbeats = new HeartbeatHandler(world, reports, orders, probe);
+  WorkerProtocol(ClusterState cluster, Ledger placementLog) {
+    fences = new FenceRaiser(cluster);
+    WorkerOrders orders = new WorkerOrders(cluster, fences);
+    reports = new ReportHandler(cluster, placementLog, new FaultAttribution(cluster, placementLog));
+    AnswerHandler answers = new AnswerHandler(cluster, reports, fences);
+    probe = new MachineProbe(cluster, answers);
+    commands = new DirectCommands(cluster, orders, answers, probe);
+    probe.setAnswerListener(commands::push);
+    orders.setStartsDueListener(commands::push);
+    heartbeats = new HeartbeatHandler(cluster, reports, orders, probe);
   }
 }
--- a/src/main/java/dunlincroft/coordination/ZoneOutageDetector.java
+++ b/src/main/java/dunlincroft/coordination/ZoneOutageDetector.java
@@ -56,8 +56,9 @@
       boolean isReachable =
           machine.session.hasReported()
               && cluster.now() - machine.session.lastHeardMs() < suspectMs;
-      if (machine.blockStamp > 0 && (machine.session.hasReported() || !machine.placed.isEmpty())) {
-        Reachability reachability = zones.computeIfAbsent(machine.hall, key -> new Reachability());
+      if (machine.blockStamp > 0
+          && (machine.session.hasReported() || !machine.placements.isEmpty())) {
+        Reachability reachability = zones.computeIfAbsent(machine.zone, key -> new Reachability());
         reachability.reachable += isReachable ? 1 : 0;
         reachability.silent += isReachable ? 0 : 1;
       }
@@ -126,15 +127,15 @@
 
   /** Milliseconds of silence after which a machine is released and its tasks start elsewhere. */
   long releaseAfterMs(Machine machine) {
-    if (cluster.now() < recoveringUntilMs.getOrDefault(machine.hall, 0L)) {
+    if (cluster.now() < recoveringUntilMs.getOrDefault(machine.zone, 0L)) {
       return Long.MAX_VALUE;
     }
-    if (!cutOffZones.contains(machine.hall)) {
+    if (!cutOffZones.contains(machine.zone)) {
       return cluster.reportIntervalsMs(
           manySilent ? Constants.DEAD_MANY_REPORTS : Constants.DEAD_REPORTS);
     }
     long leaseMs = (long) (cluster.settings.leaseS() * 1000);
-    if (!machine.hasDaemon()) {
+    if (!machine.hasService()) {
       // Its tasks are lost when its lease expires. Afterwards the machine is kept for as long as a
       // replacement would take to boot: the outage may last that long, or end at any moment.
       long bootMs = machine.type == null ? 0 : (long) (machine.type.startupS() * 1000);
@@ -143,7 +144,7 @@
     // Releases are spread out, as the images of the services are fetched by few machines, whose
     // bandwidth is shared.
     long answeredMs =
-        membership.isAcquiredFrom(machine.shard, machine.hall) ? cluster.maxCancellationLagMs() : 0;
+        membership.isAcquiredFrom(machine.shard, machine.zone) ? cluster.maxCancellationLagMs() : 0;
     long latestMs = leaseMs + answeredMs - Constants.ZONE_LEAD_MS;
     double spreadFraction = (Hashing.of(machine.host) >>> 11) * 0x1p-53;
     return Math.max(
@@ -157,8 +158,8 @@
    */
   long silentMs(Machine machine) {
     long ownSilenceMs = cluster.now() - machine.session.lastHeardMs();
-    return machine.session.hasReported() || !cutOffZones.contains(machine.hall)
+    return machine.session.hasReported() || !cutOffZones.contains(machine.zone)
         ? ownSilenceMs
-        : Math.max(ownSilenceMs, membership.zoneSilentMs(machine.hall));
+        : Math.max(ownSilenceMs, membership.zoneSilentMs(machine.zone));
   }
 }
--- a/src/test/java/dunlincroft/coordination/JobRunTest.java
+++ b/src/test/java/dunlincroft/coordination/JobRunTest.java
@@ -114,10 +114,10 @@
     job.clear(placement);
     job.dirty(2, 60, false);
     assertThat(job.booked()).isEqualTo(1);
-    assertThat(machine.named).containsExactly(job);
+    assertThat(machine.recordedJobs).containsExactly(job);
     job.record.send(job.record.nextUpdate(Integer.MAX_VALUE));
     assertThat(job.record.settle(2)).isEqualTo(List.of());
     assertThat(job.booked()).isZero();
-    assertThat(machine.named).isEmpty();
+    assertThat(machine.recordedJobs).isEmpty();
   }
 }
--- a/src/test/java/dunlincroft/coordination/MachineSessionTest.java
+++ b/src/test/java/dunlincroft/coordination/MachineSessionTest.java
@@ -26,9 +26,18 @@
     return session;
   }
 
-  private static WorkerReport report(long tenure, long counter, long fence) {
+  private static WorkerReport report(long sessionNumber, long counter, long fence) {
     return new WorkerReport(
-        "host-1", "host-1:80", "small", "zone-a", false, tenure, counter, fence, -1, List.of());
+        "host-1",
+        "host-1:80",
+        "small",
+        "zone-a",
+        false,
+        sessionNumber,
+        counter,
+        fence,
+        -1,
+        List.of());
   }
 
   private static MachineSession.State after(String event, MachineSession.State state) {
@@ -68,20 +77,20 @@
   }
 
   @Test
-  void aMachineIsDeafSinceTheFirstQuestionWithoutAnswer() {
+  void aWorkerIsUnreachableSinceTheFirstUnansweredQuery() {
     session.onReport(report(1, 1, OUR_FENCE), 100);
     assertThat(session.onNoAnswer(200)).isFalse();
     session.onMissedAnswer();
     assertThat(session.onNoAnswer(300)).isTrue();
     assertThat(session.onNoAnswer(400)).isFalse();
-    assertThat(session.deafSinceMs()).isEqualTo(300);
+    assertThat(session.unreachableSinceMs()).isEqualTo(300);
     session.onAnswer();
-    assertThat(session.hears()).isTrue();
-    assertThat(session.deafSinceMs()).isNegative();
+    assertThat(session.isReachable()).isTrue();
+    assertThat(session.unreachableSinceMs()).isNegative();
   }
 
   @Test
-  void silenceIsNewOnceUntilTheNextReport() {
+  void silenceIsReportedOnceUntilTheNextReport() {
     assertThat(session.onSilence()).as("it has not reported yet").isFalse();
     session.onReport(report(1, 1, OUR_FENCE), 100);
     assertThat(session.onSilence()).isTrue();
@@ -91,7 +100,7 @@
   }
 
   @Test
-  void aPauseOfOursIsNoSilenceAndReachesNoFurtherThanNow() {
+  void aLocalPauseDoesNotCountAsSilenceAndIsCappedAtNow() {
     session.onReport(report(1, 1, OUR_FENCE), 100);
     session.onPause(30, 1000);
     assertThat(session.lastHeardMs()).isEqualTo(130);
@@ -100,89 +109,89 @@
   }
 
   @Test
-  void aReportShowsWhetherItsWorkerGotOurAnswer() {
+  void aReportShowsWhetherItsWorkerReceivedOurAnswer() {
     session.onReport(report(1, 1, OUR_FENCE), 100);
-    assertThat(missed(report(1, 3, 0))).as("nothing was answered yet").isFalse();
+    assertThat(hasMissed(report(1, 3, 0))).as("nothing was answered yet").isFalse();
     session.onAnswered(OUR_FENCE, false, 100);
-    assertThat(missed(report(1, 2, OUR_FENCE))).isFalse();
-    assertThat(missed(report(1, 2, OUR_FENCE - 1))).as("the fence was not seen").isTrue();
-    assertThat(missed(report(1, 3, OUR_FENCE))).as("it reported elsewhere").isTrue();
-    assertThat(missed(report(2, 1, OUR_FENCE))).as("its lease has ended").isTrue();
-    session.onCommand(true);
-    assertThat(missed(report(1, 3, OUR_FENCE))).as("it answers a command").isFalse();
+    assertThat(hasMissed(report(1, 2, OUR_FENCE))).isFalse();
+    assertThat(hasMissed(report(1, 2, OUR_FENCE - 1))).as("the fence was not seen").isTrue();
+    assertThat(hasMissed(report(1, 3, OUR_FENCE))).as("it reported elsewhere").isTrue();
+    assertThat(hasMissed(report(2, 1, OUR_FENCE))).as("its lease has ended").isTrue();
+    session.setCommandInFlight(true);
+    assertThat(hasMissed(report(1, 3, OUR_FENCE))).as("it answers a command").isFalse();
   }
 
-  private boolean missed(WorkerReport report) {
-    return session.missedOurAnswer(report, 200, LEASE_MS);
+  private boolean hasMissed(WorkerReport report) {
+    return session.hasMissedOurAnswer(report, 200, LEASE_MS);
   }
 
   @Test
-  void aLateEndOfALeaseIsNoSignThatOurAnswerWasMissed() {
+  void anExpiredLeaseDoesNotImplyAMissedAnswer() {
     session.onReport(report(1, 1, OUR_FENCE), 100);
     session.onAnswered(OUR_FENCE, false, 100);
-    assertThat(session.missedOurAnswer(report(2, 1, OUR_FENCE), 10_100, LEASE_MS)).isFalse();
+    assertThat(session.hasMissedOurAnswer(report(2, 1, OUR_FENCE), 10_100, LEASE_MS)).isFalse();
   }
 
   @Test
-  void nothingIsProvenAbsentWhileAnOrderMayBeInFlight() {
-    assertThat(session.provenAbsent()).as("it has not seen our fence").isFalse();
+  void absenceIsNotProvenWhileAnOrderMayBeInFlight() {
+    assertThat(session.isAbsenceProven()).as("it has not seen our fence").isFalse();
     session.onReport(report(1, 1, OUR_FENCE), 100);
-    assertThat(session.provenAbsent()).isTrue();
-    session.onCommand(true);
-    assertThat(session.provenAbsent()).as("a command is out").isFalse();
-    session.onCommand(false);
+    assertThat(session.isAbsenceProven()).isTrue();
+    session.setCommandInFlight(true);
+    assertThat(session.isAbsenceProven()).as("a command is out").isFalse();
+    session.setCommandInFlight(false);
     session.onAnswered(OUR_FENCE, true, 100);
-    assertThat(session.provenAbsent()).as("starts are on their way").isFalse();
+    assertThat(session.isAbsenceProven()).as("starts are on their way").isFalse();
     assertThat(session.onAnswerSettled()).isTrue();
     assertThat(session.onAnswerSettled()).isFalse();
-    assertThat(session.provenAbsent()).isTrue();
+    assertThat(session.isAbsenceProven()).isTrue();
     session.onUnresolvedCommand(OUR_FENCE);
     session.onReport(report(1, 2, OUR_FENCE), 200);
-    assertThat(session.provenAbsent()).as("a command may yet be executed").isFalse();
+    assertThat(session.isAbsenceProven()).as("a command may yet be executed").isFalse();
     session.onReport(report(1, 3, OUR_FENCE + 1), 300);
-    assertThat(session.provenAbsent()).isTrue();
+    assertThat(session.isAbsenceProven()).isTrue();
   }
 
   @Test
-  void afterARestartNothingIsProvenAbsentBeforeTheRaisedFenceWasSeen() {
+  void afterARestartAbsenceIsNotProvenBeforeTheRaisedFenceWasSeen() {
     session.onReport(report(1, 9, OUR_FENCE), 100);
     session.onAnswered(OUR_FENCE, true, 100);
     session.onRestart(OUR_FENCE);
     session.onReport(report(1, 1, 0), 200);
-    assertThat(session.obeysUs()).isFalse();
-    assertThat(missed(report(1, 5, 0))).as("its former life was answered").isFalse();
+    assertThat(session.hasSeenOurFence()).isFalse();
+    assertThat(hasMissed(report(1, 5, 0))).as("its former life was answered").isFalse();
     session.onReport(report(1, 2, OUR_FENCE), 300);
-    assertThat(session.provenAbsent()).isFalse();
+    assertThat(session.isAbsenceProven()).isFalse();
     session.onReport(report(1, 3, OUR_FENCE + 1), 400);
-    assertThat(session.provenAbsent()).isTrue();
+    assertThat(session.isAbsenceProven()).isTrue();
   }
 
   /** Whatever happens in between: an unresolved command is forgotten for a higher fence alone. */
   @Property
-  void anUnresolvedCommandOutlastsAllButAHigherFence(
+  void onlyAHigherFenceResolvesAnUnansweredCommand(
       @ForAll @Size(max = 30) List<@IntRange(max = 6) Integer> events) {
-    MachineSession any = owned();
-    any.onReport(report(1, 1, OUR_FENCE), 1);
-    any.onUnresolvedCommand(OUR_FENCE);
+    MachineSession subject = owned();
+    subject.onReport(report(1, 1, OUR_FENCE), 1);
+    subject.onUnresolvedCommand(OUR_FENCE);
     long now = 2;
     for (int event : events) {
-      happens(any, event, now++);
-      assertThat(any.provenAbsent()).isFalse();
-      assertThat(any.deaf()).isEqualTo(any.deafSinceMs() >= 0);
+      applyEvent(subject, event, now++);
+      assertThat(subject.isAbsenceProven()).isFalse();
+      assertThat(subject.isUnreachable()).isEqualTo(subject.unreachableSinceMs() >= 0);
     }
-    any.onCommand(false);
-    any.onAnswerSettled();
-    any.onReport(report(1, now, OUR_FENCE + 1), now);
-    assertThat(any.provenAbsent()).isTrue();
+    subject.setCommandInFlight(false);
+    subject.onAnswerSettled();
+    subject.onReport(report(1, now, OUR_FENCE + 1), now);
+    assertThat(subject.isAbsenceProven()).isTrue();
   }
 
-  private static void happens(MachineSession session, int event, long now) {
+  private static void applyEvent(MachineSession session, int event, long now) {
     switch (event) {
       case 0 -> session.onReport(report(1, now, OUR_FENCE), now);
       case 1 -> session.onAnswer();
       case 2 -> session.onMissedAnswer();
       case 3 -> session.onNoAnswer(now);
-      case 4 -> session.onCommand(now % 2 == 0);
+      case 4 -> session.setCommandInFlight(now % 2 == 0);
       case 5 -> session.onAnswered(OUR_FENCE, now % 2 == 0, now);
       default -> session.onRestart(OUR_FENCE);
     }
