--- a/src/main/java/dunlincroft/coordination/Autoscaler.java
+++ b/src/main/java/dunlincroft/coordination/Autoscaler.java
@@ -14,11 +14,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Machines: the leader rents and leases them; a shard's holder returns them. */
+/**
+ * Adjusts the number of machines to the demand: the leader rents machines and leases them to
+ * shards, the owner of a shard releases them.
+ */
 final class Autoscaler {
   private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
 
-  /** The name of the record of all machine types. */
+  /** Name of the record of all machine types. */
   private static final String ALL_TYPES = "all";
 
   private final ClusterState cluster;
@@ -32,8 +35,13 @@
   private final MachineReleaser releaser;
   private long nextTypeQueryMs;
   private boolean isRecordingTypes;
+
+  /** Until when this node counts as the next in line to acquire a shard with machines. */
   private long standbyUntilMs;
+
+  /** Until when such a takeover counts as imminent. */
   private long takeoverImminentUntilMs;
+
   private List<String> silentMachines = List.of();
 
   Autoscaler(
@@ -61,7 +69,10 @@
 
   // ---- types ----
 
-  /** Every node learns the types from the record; who knows none asks the cloud. */
+  /**
+   * Keeps the machine types current. All nodes read them from the record that the leader writes;
+   * the leader, and a node that knows none, query the cloud.
+   */
   void refreshTypes() {
     if (membership.isLeader()
         && !isRecordingTypes
@@ -83,7 +94,7 @@
           List<MachineType> types =
               status == 200 && body != null ? ClusterState.parseMachineTypes(body) : List.of();
           if (types.isEmpty()) {
-            LOG.info("machine types not to be had: {}", status);
+            LOG.info("machine types are unavailable: status {}", status);
             nextTypeQueryMs = cluster.now() + 2000;
             return;
           }
@@ -96,8 +107,9 @@
   }
 
   /**
-   * As urgent as who holds what: without the types no other controller accepts any job, and the
-   * cloud need not answer them all. It is written again until the record is there.
+   * Records the machine types, with the same urgency as shard ownership: without them no other
+   * controller accepts any job, and the cloud may not answer all controllers. The write is repeated
+   * until the record exists.
    */
   private void recordTypes() {
     isRecordingTypes = true;
@@ -110,12 +122,13 @@
                 MachineType.toNode(List.copyOf(cluster.machineTypes.values()))),
         result -> {
           isRecordingTypes = false;
-          LOG.debug("types recorded: {}", result.outcome());
+          LOG.debug("machine types recorded: {}", result.outcome());
         });
   }
 
   // ---- the leader ----
 
+  /** Periodic work of the leader. */
   void leaderTick() {
     discovery.tick();
     recordShares();
@@ -128,7 +141,10 @@
     placementLog.sweep();
   }
 
-  /** The first lease holder gets each team's whole limit; shares move by their holders alone. */
+  /**
+   * Creates the records of team limit shares: the first shard with block leases gets the whole
+   * limit of each team. After that only the owners of shards transfer shares.
+   */
   private void recordShares() {
     List<String> shards = membership.leasedShards();
     if (shards.isEmpty()) {
@@ -149,17 +165,23 @@
     }
     if (txn.size() > 0) {
       cluster.store.commit(
-          Urgency.HANDS, txn, result -> LOG.debug("shares recorded: {}", result.outcome()));
+          Urgency.HANDS,
+          txn,
+          result -> LOG.debug("team limit shares recorded: {}", result.outcome()));
     }
   }
 
-  // ---- the holder ----
+  // ---- the owner of shards ----
 
+  /** Looks up the endpoints of machines that this node has just acquired. */
   void locateMachines() {
     machineList.locateMachines();
   }
 
-  /** We are first in line to hold machines, perhaps at once: where they are is looked up ahead. */
+  /**
+   * This node is next in line to acquire a shard with machines, possibly at once: prefetches their
+   * endpoints.
+   */
   void prefetchEndpoints(boolean takeoverImminent) {
     standbyUntilMs = cluster.now() + 2 * Constants.SUPPLY_MS;
     takeoverImminentUntilMs = takeoverImminent ? standbyUntilMs : takeoverImminentUntilMs;
@@ -169,11 +191,12 @@
     machineList.prefetchEndpoints(takeoverImminent);
   }
 
-  /** Machines of ours that do not serve, as of the last second. */
+  /** Machines of this node that do not serve, as of the last second. */
   List<String> silentMachines() {
     return silentMachines;
   }
 
+  /** Periodic work of every controller, mostly for the shards that it owns. */
   void ownerTick() {
     silentMachines = provisioner.silentMachines();
     provisioner.refreshSilentOnPeers();
@@ -186,9 +209,10 @@
   }
 
   /**
-   * Our part of the cloud's rate. Who has just taken machines over and does not lead yet must look
-   * up where they are at once, and so must who is about to; the next in line looks them up now and
-   * then, the others want next to nothing.
+   * Fraction of the cloud's request rate that this node may use. A node that has just acquired
+   * machines and does not lead yet must look up their endpoints at once, and so must a node that is
+   * about to acquire some; the next in line looks them up occasionally, and the others need next to
+   * nothing.
    */
   private double cloudRateFraction() {
     List<String> shards = membership.leasedShards();
--- a/src/main/java/dunlincroft/coordination/CloudClient.java
+++ b/src/main/java/dunlincroft/coordination/CloudClient.java
@@ -12,7 +12,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The cloud by its protocol, within our part of its rate. Releases go before everything else. */
+/**
+ * Client of the cloud API. Requests are queued and sent within this controller's share of the
+ * published request rate; urgent ones, such as releases, are sent first.
+ */
 final class CloudClient {
   private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
 
@@ -32,12 +35,15 @@
     this.bucket = new TokenBucket(rps, 1, env.nowMillis());
   }
 
-  /** Sets our part of the published rate. */
+  /** Sets this controller's share of the published request rate. */
   void setRate(double rps) {
     bucket.rate(rps * Constants.BUDGET_PART, env.nowMillis());
   }
 
-  /** {@code then} gets the status and the body; status 0 and null stand for no answer. */
+  /**
+   * Queues a request. {@code onResponse} gets the status and the parsed body; status 0 and a null
+   * body mean that there was no valid response.
+   */
   void call(
       boolean urgent,
       String method,
@@ -75,7 +81,8 @@
               try {
                 body = Cbor.parse(reply.body());
               } catch (Malformed e) {
-                LOG.info("cloud answered {} {} with a malformed body", status, call.path);
+                LOG.info(
+                    "cloud response with status {} to {} has a malformed body", status, call.path);
                 status = 0;
               }
             }
--- a/src/main/java/dunlincroft/coordination/Consolidation.java
+++ b/src/main/java/dunlincroft/coordination/Consolidation.java
@@ -14,11 +14,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Empties machines that are not needed, the dearest kind first, so that they can be returned. */
+/**
+ * Drains machines that are not needed, the most expensive kind first, so that they can be returned
+ * to the cloud.
+ */
 final class Consolidation {
   private static final Logger LOG = LoggerFactory.getLogger(Consolidation.class);
 
-  /** Why such a machine drains. */
+  /** Drain reason of a machine that exceeds the demand. */
   static final String SURPLUS = "surplus";
 
   private final ClusterState cluster;
@@ -38,7 +41,10 @@
     this.provisioner = provisioner;
   }
 
-  /** Empties and returns what is not needed, the dearest kind first. */
+  /**
+   * Compares supply with demand for each machine type, starts and cancels drains accordingly, and
+   * evicts the tasks that remain on draining machines.
+   */
   void tick() {
     Map<String, Demand.MachineDemand> needs = demand.smoothedDemand();
     Set<String> neededHosts = provisioner.assessReplicas().reservedHosts();
@@ -65,7 +71,8 @@
         }
       }
       long onDemandDraining = draining.stream().filter(machine -> !machine.preemptible).count();
-      // Several holders see the same surplus: each returns its part of it.
+      // Every shard owner computes the same surplus: each drains the fraction that corresponds to
+      // its part of the machines.
       double ownedFraction = (double) ownedCount / Math.max(1, counts.leasedCount());
       int excess =
           (int)
@@ -112,7 +119,10 @@
         .forEach(this::evictLastTasks);
   }
 
-  /** A replica waits that has room there: the machine is needed, whatever the numbers say. */
+  /**
+   * Cancels the drain of a machine on which a waiting replica is expected to be placed, whatever
+   * the total counts say.
+   */
   private void keepForReplica(Machine machine) {
     if (SURPLUS.equals(machine.drainReason) && machine.lifecycle == MachineLifecycle.IN_USE) {
       machine.drainReason = null;
@@ -121,8 +131,9 @@
   }
 
   /**
-   * The last tasks on a machine that is not needed move if all of them lose next to nothing: they
-   * run for minutes, and each keeps a machine that is paid for whole.
+   * Evicts the last tasks of a draining machine if all of them can save their state and so lose
+   * next to nothing: they would run for minutes more, each keeping a machine that is billed as a
+   * whole.
    */
   private void evictLastTasks(Machine machine) {
     if (!machine.placements.isEmpty()
@@ -137,7 +148,10 @@
     }
   }
 
-  /** Stops the tasks of a machine that drains: they wait again as soon as they are off it. */
+  /**
+   * Stops all tasks of a draining machine; they become eligible for placement as soon as they have
+   * left it.
+   */
   private void evictAll(Machine machine) {
     for (Placement placement : machine.placements.values()) {
       placement.job.halt(placement);
@@ -157,9 +171,10 @@
   }
 
   /**
-   * Services end when their users say so and would hold nearly empty machines for hours. The least
-   * used machine of theirs is emptied when every one of them has room at once, elsewhere and with
-   * its image there, so that it is away for a moment only. One machine at a time.
+   * Evicts the least used machine that runs services. Services run until their users end them and
+   * would occupy nearly empty machines for hours. A machine qualifies only if every task on it fits
+   * on another machine at once, for services one that already has the image, so that the
+   * interruption is short. One machine is evicted at a time.
    */
   private void consolidate(MachineType type) {
     if (cluster.now() < nextConsolidationMs) {
@@ -217,7 +232,7 @@
     return true;
   }
 
-  /** Whether the time is over that costs as much when the machine is returned. */
+  /** Whether the minimum billing period is over; returning a machine earlier saves nothing. */
   boolean isPastMinimumBilling(Machine machine) {
     return cluster.env.wallMillis() - machine.rentedAtWallMs >= Constants.PAID_MS;
   }
--- a/src/main/java/dunlincroft/coordination/DirectCommands.java
+++ b/src/main/java/dunlincroft/coordination/DirectCommands.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends orders straight to workers, one call at a time for each machine. */
+/** Sends orders directly to workers, one call at a time for each machine. */
 final class DirectCommands {
   private static final Logger LOG = LoggerFactory.getLogger(DirectCommands.class);
 
@@ -28,13 +28,16 @@
     this.probe = probe;
   }
 
-  /** Sends orders straight to the worker, one call at a time; the hello lane is the fallback. */
+  /**
+   * Sends the pending orders directly to the worker. Orders that cannot be sent this way are sent
+   * in the answer to the next heartbeat.
+   */
   void push(Machine machine) {
     if (machine.session.isCommandInFlight()) {
       machine.isPushPending = true;
       return;
     }
-    // One that did not answer is left to its hellos until it is heard again.
+    // A worker that did not answer gets its orders with its heartbeats until it is heard again.
     if (!machine.session.hasReported()
         || machine.session.hasAbandonedCommandSinceHeard()
         || machine.endpoint == null) {
@@ -55,7 +58,10 @@
         reply -> onReply(machine, fence, lastReport, reply));
   }
 
-  /** What has ended may stay in the reports until the next one: no call is worth it. */
+  /**
+   * Whether an order can wait for the next heartbeat: ended tasks may stay in the reports, and
+   * discarding them is not worth a call.
+   */
   private static boolean isDeferrable(Order order) {
     return order.verb().equals(Wire.REAP);
   }
@@ -66,14 +72,14 @@
     machine.isPushPending = false;
     if (reply.status() != 200 && reply.status() != 409) {
       if (reply.left()) {
-        // It may be executed minutes from now, as long as the fence stays.
+        // The command may be executed minutes later, as long as the fence stays.
         machine.session.onUnresolvedCommand(fence);
         if (cluster.machines.get(machine.host) == machine) {
           probe.suspectMissedAnswer(machine);
         }
       }
       machine.session.onCommandAbandoned(cluster.now());
-      LOG.info("host {} did not answer direct orders ({})", machine.host, reply.status());
+      LOG.info("host {} did not answer a direct command: status {}", machine.host, reply.status());
       return;
     }
     if (cluster.machines.get(machine.host) != machine) {
--- a/src/main/java/dunlincroft/coordination/FaultAttribution.java
+++ b/src/main/java/dunlincroft/coordination/FaultAttribution.java
@@ -4,7 +4,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tells faulty machines from faulty jobs by the tasks that fail, and by those that run. */
+/** Distinguishes faulty machines from faulty jobs by the tasks that fail and those that run. */
 final class FaultAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
@@ -16,6 +16,7 @@
     this.placementLog = placementLog;
   }
 
+  /** A task has run for a while or to its end. */
   void onRanWell(Placement placement) {
     if (placement.job.ranWell()) {
       LOG.info(
@@ -25,9 +26,9 @@
   }
 
   /**
-   * Is it the machine or the job? A job that ran elsewhere speaks against the machine with each of
-   * its tasks. One that has not run yet may fail everywhere, many tasks at once: all of them say no
-   * more than one, and only so many such jobs together speak against the machine.
+   * A task has failed. If its job has run elsewhere, each failed task counts against the machine. A
+   * job that has not run yet may fail everywhere, with many tasks at once: all its failures
+   * together count as one, and only several such jobs count against the machine.
    */
   void onFailure(Machine machine, Placement placement) {
     JobRun job = placement.job;
@@ -42,7 +43,7 @@
     }
     if (job.faulty && !wasFaulty) {
       LOG.info(
-          "job {} has failed on {} machines and run on none: one task at a time from here on",
+          "job {} has failed on {} machines and run on none: one task at a time from now on",
           job.id,
           Constants.JOB_FAULTY_AFTER);
       cluster.machines.values().forEach(other -> other.failedJobs.remove(job.id));
@@ -52,8 +53,8 @@
             || machine.failedJobs.size() >= Constants.SICK_AFTER;
     if (isMachineFaulty && machine.drainReason == null && canDrainFaulty()) {
       LOG.info(
-          "host {} failed {} tasks of jobs that ran elsewhere, and {} jobs in all, in a row: taken"
-              + " for sick, draining",
+          "host {} failed {} tasks of jobs that ran elsewhere, and {} jobs in all, consecutively:"
+              + " taken for sick, draining",
           machine.host,
           machine.consecutiveFailures,
           machine.failedJobs.size());
@@ -62,7 +63,10 @@
     }
   }
 
-  /** A wrong guess must do no harm: at most an eighth of the machines are replaced at a time. */
+  /**
+   * Limits the damage of a wrong diagnosis: at most an eighth of the machines are replaced at a
+   * time.
+   */
   private boolean canDrainFaulty() {
     long faultyMachines =
         cluster.machines.values().stream().filter(m -> "sick".equals(m.drainReason)).count();
--- a/src/main/java/dunlincroft/coordination/FenceRaiser.java
+++ b/src/main/java/dunlincroft/coordination/FenceRaiser.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Raises the fence of a machine, so that commands in flight under the older one become void. */
+/** Raises the fence of a machine, so that commands in flight under the older fence become void. */
 final class FenceRaiser {
   private static final Logger LOG = LoggerFactory.getLogger(FenceRaiser.class);
 
@@ -18,7 +18,10 @@
     this.cluster = cluster;
   }
 
-  /** Rewrites the block's key: commands still in flight under the older fence become void. */
+  /**
+   * Rewrites the block record: its new stamp is the new fence, and commands still in flight under
+   * the older one become void.
+   */
   void raise(Machine machine) {
     BlockIndex.Block block = cluster.blocks.blockOf(machine.host);
     if (machine.isRaisingFence || block == null) {
@@ -41,8 +44,9 @@
   }
 
   /**
-   * A worker whose machine we hold has seen a fence above ours: a stand-in answered it while the
-   * state service was down, and only a newer stamp is above that.
+   * Raises the fence of an owned machine whose worker has seen a higher one: a proxy owner answered
+   * the worker while the state service was unavailable, and only a newer stamp is above the fence
+   * that it used.
    */
   void raiseAbove(String host, long fence) {
     Machine machine = cluster.machines.get(host);
--- a/src/main/java/dunlincroft/coordination/Handover.java
+++ b/src/main/java/dunlincroft/coordination/Handover.java
@@ -5,7 +5,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What owners of shards give to each other while several shards have machines, or had them. */
+/**
+ * Transfers machines and shares of team limits between the owners of shards, as long as more than
+ * one shard has block leases, machines or shares.
+ */
 final class Handover {
   private final ClusterState cluster;
   private final Membership membership;
@@ -20,6 +23,7 @@
     shares = new ShareHandover(cluster, demand, writer);
   }
 
+  /** Plans and starts the transfers that are due; called by every owner of a shard. */
   void tick() {
     Set<String> shards = new HashSet<>(membership.leasedShards());
     cluster.blocks.all().forEach(block -> shards.add(block.record().shard()));
--- a/src/main/java/dunlincroft/coordination/HandoverWriter.java
+++ b/src/main/java/dunlincroft/coordination/HandoverWriter.java
@@ -7,9 +7,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Commits a handover until its outcome is certain, and reports the end only once our replica shows
- * it: a first try without an answer may be applied late, and must not meet us using what it gave
- * away.
+ * Commits a handover and repeats the write until its outcome is certain. Completion is reported
+ * only once the local replica shows the result: a first attempt that got no response may be applied
+ * late, and this controller must not use by then what it has given away.
  */
 final class HandoverWriter {
   private static final Logger LOG = LoggerFactory.getLogger(HandoverWriter.class);
@@ -21,10 +21,10 @@
   }
 
   /**
-   * Writes one handover.
+   * Commits one handover.
    *
-   * @param description the handover, as operators read it in the log
-   * @param onSettled runs once the outcome is certain, whatever it is
+   * @param description the handover, as shown in the log
+   * @param onSettled runs once the outcome is certain, whether the write was applied or not
    */
   void commit(Txn txn, String description, Runnable onSettled) {
     commit(txn, false, description, onSettled);
@@ -37,7 +37,7 @@
         result -> {
           switch (result.outcome()) {
             case OK -> {
-              LOG.info("handed over: {}", description);
+              LOG.info("handover committed: {}", description);
               cluster.metrics.count(Figures.Event.HANDOVER);
               onSettled.run();
             }
@@ -59,7 +59,7 @@
     cluster.feed.barrier(
         ok -> {
           if (ok) {
-            LOG.info("not handed over, or with an answer lost: {}", description);
+            LOG.info("handover rejected, or committed with the response lost: {}", description);
             onSettled.run();
           } else {
             cluster.env.after(
--- a/src/main/java/dunlincroft/coordination/Machine.java
+++ b/src/main/java/dunlincroft/coordination/Machine.java
@@ -11,17 +11,23 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A machine of a shard that this node holds. */
+/**
+ * A machine of a shard that this node owns, with its placements and the state known from its
+ * worker.
+ */
 final class Machine {
-  /** How soon a task may start, as far as its image is concerned. */
+  /** How soon a task could start as far as its image is concerned, the fastest case first. */
   enum ImageState {
-    /** The image is there. */
+    /** The image is cached on the machine. */
     CACHED,
-    /** It is being fetched for another task. */
+    /** The image is being fetched for another task. */
     FETCHING,
-    /** It would be fetched alone. */
+    /** The image is missing and no other fetch competes for the machine's download bandwidth. */
     MISSING,
-    /** It would share the machine's rate with other fetches, and slow them down. */
+    /**
+     * The image is missing and would share the download bandwidth with other fetches, slowing them
+     * down.
+     */
     CONTENDED
   }
 
@@ -35,66 +41,91 @@
   String endpoint;
   MachineType type;
 
-  /** Whether some waiting task may have room here, in the present round. */
+  /** Whether some waiting task may fit here in the current placement round. */
   boolean isCandidate;
 
-  /** What work leaves free here, worked out for this type; see World.kept. */
+  /**
+   * Machine type for which {@code ClusterState} computed the CPU reservations below; they are
+   * computed again when the type changes.
+   */
   MachineType reservedCpuType;
 
+  /** CPU in thousandths that no task may use, by the operators' load bound. */
   long baseReservedCpu;
+
+  /** The same on a machine that runs services, including the reserve for further ones. */
   long reservedCpuWithServices;
 
-  /** Stamp of its block; 0 for a machine that only old records name: it is released, not used. */
+  /**
+   * Version stamp of its block record; 0 for a machine that only outdated records name, which is
+   * released and not used.
+   */
   long blockStamp;
 
   final MachineSession session;
   MachineLifecycle lifecycle = MachineLifecycle.IN_USE;
+
+  /** Tasks in the worker's newest report. */
   List<WorkerReport.Piece> reportedTasks = List.of();
+
+  /** Placements by task name. */
   final Map<String, Placement> placements = new Object2ObjectLinkedOpenHashMap<>();
 
-  /** What the placements take, and how many of them are services': kept with every change. */
+  /** Sum of the resources of all placements, updated with every change. */
   private Room allocated = Room.NONE;
 
+  /** Number of placements that belong to services. */
   private int serviceCount;
 
-  /** What the services among them take. */
+  /** Sum of the resources of the placements that belong to services. */
   private Room allocatedToServices = Room.NONE;
 
-  /** Images that a task ran from here, as far as this holder saw. */
+  /** Images from which a task has run here, as far as this owner has observed. */
   private final Set<String> cachedImages = new HashSet<>();
 
-  /** Placements by image, and how many of these images are not there yet. */
+  /** Number of placements by image. */
   private final Object2IntOpenHashMap<String> placementsByImage = new Object2IntOpenHashMap<>();
 
+  /** Number of images of placements that are not cached yet. */
   private int missingImages;
 
-  /** Room of tasks that no record names; they are being stopped. */
+  /** Resources of orphaned tasks, which no record names; they are being stopped. */
   Room orphanedResources = Room.NONE;
 
+  /** Whether orders have to be pushed again once the direct command in flight is answered. */
   boolean isPushPending;
+
+  /** Whether a write that raises the fence is in flight. */
   boolean isRaisingFence;
 
-  /** Starts wait until we have read up to its fence. */
+  /**
+   * Whether starts are deferred until this controller has read the change feed up to the machine's
+   * fence.
+   */
   boolean hasDeferredStarts;
 
-  /** Why no new work goes there, or null. */
+  /** Why no new tasks are placed here, or null. */
   String drainReason;
 
-  /** The shard that gets the block once the machine is empty, or null. */
+  /** The shard that gets the machine once it is empty, or null. */
   String targetShard;
 
-  /** The block's move is asked for, and its outcome not known yet. */
+  /** Whether the write that moves it to that shard was sent and its outcome is not known yet. */
   boolean isMoving;
 
   /** Jobs whose records may name this machine. */
   final Set<JobRun> recordedJobs = new HashSet<>();
 
+  /** No new tasks are placed here before this time, after the worker refused a start. */
   long avoidUntilMs;
 
-  /** Failures in a row of jobs that ran elsewhere; and all jobs that failed here meanwhile. */
+  /** Consecutive failures of tasks whose jobs have run elsewhere. */
   int consecutiveFailures;
 
+  /** All jobs of which a task failed here since the last success. */
   final Set<String> failedJobs = new HashSet<>();
+
+  /** Since when the machine has had no tasks; -1 if it has some. */
   long idleSinceMs = -1;
 
   Machine(
@@ -143,14 +174,14 @@
     }
   }
 
-  /** A task runs from this image. */
+  /** Records that a task has run from this image, which is therefore cached. */
   void markImageCached(String image) {
     if (cachedImages.add(image) && placementsByImage.containsKey(image)) {
       missingImages--;
     }
   }
 
-  /** How far the machine is from having an image, the nearest first. */
+  /** How soon a task with this image could start. */
   ImageState imageState(String image) {
     if (cachedImages.contains(image)) {
       return ImageState.CACHED;
@@ -161,28 +192,32 @@
     return missingImages == 0 ? ImageState.MISSING : ImageState.CONTENDED;
   }
 
+  /** Resources of all placements and orphaned tasks. */
   Room used() {
     return allocated.plus(orphanedResources);
   }
 
+  /** Resources that are not in use; none while the machine type is unknown. */
   Room free() {
     return type == null ? Room.NONE : type.room().minus(used());
   }
 
-  /** A look before the exact one: whether so many processors can be free beyond those kept. */
+  /** A quick check before the exact one: whether enough CPU can be free beyond the reservation. */
   boolean mayFit(Room requested, long reserved) {
     return type != null
         && type.room().cpu() - allocated.cpu() - orphanedResources.cpu() - reserved
             >= requested.cpu();
   }
 
+  /** Whether nothing is placed here and the worker reports no task that has not ended. */
   boolean hasNoTasks() {
     return placements.isEmpty() && reportedTasks.stream().allMatch(WorkerReport.Piece::exited);
   }
 
   /**
-   * Whether one more such replica leaves room for what services of a lost zone would bring: with
-   * three zones, a third of the machine, which other work may use until then.
+   * Whether the machine, with one more such replica, could still take over the load of services of
+   * a failed zone: with three zones, one third of the machine stays free for that, which other work
+   * may use until then.
    */
   boolean leavesZoneFailoverCapacity(Room replica) {
     int zoneCount = type.halls().size();
@@ -193,14 +228,17 @@
             .fits(type.room().times(zoneCount - 1));
   }
 
+  /** Whether a replica of a service is placed here. */
   boolean hasService() {
     return serviceCount > 0;
   }
 
+  /** The class of blocks that the machine belongs to. */
   BlockClass blockClass() {
     return new BlockClass(typeLabel, zone, preemptible);
   }
 
+  /** Whether new tasks may be placed here. */
   boolean isUsable(long nowMs, long suspectAfterMs) {
     return session.isReachable()
         && lifecycle == MachineLifecycle.IN_USE
--- a/src/main/java/dunlincroft/coordination/MachineDiscovery.java
+++ b/src/main/java/dunlincroft/coordination/MachineDiscovery.java
@@ -24,18 +24,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader leases machines that have no block yet: those just rented, and those that turn up. As
- * many of one class as came together are one block, and one change of the state service.
+ * Leases machines that have no block yet, as the leader: machines just rented and machines found by
+ * a report or in the cloud's list. Machines of one class that arrive together form one block; all
+ * new blocks are written in one transaction of the state service.
  */
 final class MachineDiscovery {
   private static final Logger LOG = LoggerFactory.getLogger(MachineDiscovery.class);
 
-  /** A machine without a block; shard null: the neediest gets it. */
+  /** A machine without a block. If the shard is null, the shard with the greatest need gets it. */
   private record UnleasedMachine(BlockClass blockClass, long rentedAtMs, String shard) {}
 
-  /** Name of the record that each lease of machines replaces, and its field. */
+  /** Name of the record that every leasing transaction replaces. */
   private static final String LAST_CHANGE = "last";
 
+  /** Field of that record: the names of the blocks that the transaction created. */
   private static final String CREATED = "blocks";
 
   private final ClusterState cluster;
@@ -44,21 +46,27 @@
   private final Map<String, UnleasedMachine> unleased = new LinkedHashMap<>();
 
   /**
-   * Blocks that are offered to the state service, by name. A block is final once offered: a try
-   * without an answer may be applied late, and a second one of another content would put a machine
+   * Blocks proposed to the state service, by name. A proposed block never changes: a write without
+   * a response may be applied late, and a second block with different content would put one machine
    * into two blocks.
    */
   private final Map<String, BlockRecord> proposed = new LinkedHashMap<>();
 
-  /** Offered blocks of which the record of leases says that they were made. */
+  /** Proposed blocks that the record of the last leasing transaction names as created. */
   private final Set<String> created = new HashSet<>();
 
+  /** Released machines, with the time until which they are not adopted again. */
   private final Map<String, Long> releasedUntil = new HashMap<>();
 
-  /** Machines that were asked whether they are there. */
+  /** Machines to which a status query is in flight. */
   private final Set<String> queried = new HashSet<>();
 
   private boolean isCommitting;
+
+  /**
+   * Leadership stamp for which this node, as the leader, has read all writes of former leaders; 0
+   * if none.
+   */
   private long syncedLeaderStamp;
 
   MachineDiscovery(ClusterState cluster, Membership membership, Demand demand) {
@@ -68,8 +76,8 @@
   }
 
   /**
-   * A worker reports whose machine has no block. It may be a new one, or a copy of a report that
-   * comes late, of a machine that was released long ago: only an answer tells.
+   * Handles a report of a worker whose machine has no block. The machine may be new, or the report
+   * may be a delayed duplicate from a machine that was released long ago: a status query decides.
    */
   void onReport(WorkerReport report) {
     String host = report.host();
@@ -99,7 +107,10 @@
         && !isRecentlyReleased(host);
   }
 
-  /** Takes machines for blocks of a shard or (null) of the neediest one. */
+  /**
+   * Adopts machines into blocks of a shard, or, if the shard is null, of the shard with the
+   * greatest need.
+   */
   void adopt(Collection<String> hosts, BlockClass blockClass, long rentedAtMs, String shard) {
     for (String host : hosts) {
       if (isNew(host)) {
@@ -112,7 +123,10 @@
     return proposed.values().stream().anyMatch(block -> block.hosts().containsKey(host));
   }
 
-  /** A machine that was released may show for a while in lists that lag. */
+  /**
+   * Keeps a released machine from being adopted again: it may appear for a while in lists that lag
+   * behind.
+   */
   void markReleased(String host) {
     releasedUntil.put(host, cluster.now() + Constants.GONE_MS);
   }
@@ -121,7 +135,7 @@
     return releasedUntil.containsKey(host);
   }
 
-  /** Machines of a type that are on their way into blocks. */
+  /** Machines of a type that are about to be leased. */
   int pendingCount(String type, boolean preemptible) {
     long n =
         unleased.values().stream()
@@ -133,7 +147,7 @@
     return (int) n;
   }
 
-  /** The same by class, added to what is there. */
+  /** Adds the numbers of machines that are about to be leased, by class. */
   void addPendingCounts(Map<BlockClass, Integer> counts) {
     unleased.values().forEach(machine -> counts.merge(machine.blockClass, 1, Integer::sum));
     proposed
@@ -145,10 +159,11 @@
     return blockClass.flavour().equals(type) && blockClass.lendable() == preemptible;
   }
 
+  /** Leases new machines while this node leads; discards all proposals otherwise. */
   void tick() {
     releasedUntil.values().removeIf(until -> cluster.now() > until);
     if (!membership.isLeader()) {
-      // Whoever does finds in the cloud's list what we rented.
+      // The new leader finds the machines rented by this one in the cloud's list.
       proposed.clear();
       unleased.clear();
       syncedLeaderStamp = 0;
@@ -156,8 +171,8 @@
     }
     long leadStamp = membership.leaderStamp();
     if (leadStamp != syncedLeaderStamp) {
-      // Another led in between and may have adopted the same machines: what we offered is void,
-      // and nothing is offered before all that it wrote was read.
+      // Another controller may have led in between and adopted the same machines: earlier proposals
+      // are discarded, and nothing is proposed before all its writes have been read.
       proposed.clear();
       unleased.clear();
       cluster.feed.barrier(ok -> syncedLeaderStamp = ok ? leadStamp : syncedLeaderStamp);
@@ -170,7 +185,7 @@
     record();
   }
 
-  /** Makes blocks of the newcomers, by class and shard. */
+  /** Groups the unleased machines into blocks by class and shard. */
   private void proposeBlocks() {
     List<String> candidates = membership.leasedShards();
     if (unleased.isEmpty() || candidates.isEmpty()) {
@@ -211,7 +226,7 @@
         membership.nextName(), new BlockRecord(template.shard, template.blockClass, hosts));
   }
 
-  /** The lease holder with the most work for each machine that it has. */
+  /** The shard with the most work per machine that it has. */
   private static String neediestShard(
       List<String> candidates, Map<String, Double> workByShard, Map<String, Integer> countByShard) {
     String best = null;
@@ -229,9 +244,9 @@
   }
 
   /**
-   * Finds blocks that were made though the answer was lost. They are never offered again, however
-   * soon they are emptied and removed, and count as on their way until our replica shows what
-   * became of them.
+   * Finds proposed blocks that were created although the response was lost. They are never proposed
+   * again, even if they are emptied and removed soon after, and they count as pending until the
+   * local replica shows their state.
    */
   private void findCreated() {
     Item last = cluster.replica.get(Replica.DISCOVERED_BLOCKS, LAST_CHANGE);
@@ -246,10 +261,10 @@
   }
 
   /**
-   * Leases what is offered. That a block isn't there guards nothing once it may have been there and
-   * gone: each change of ours therefore replaces the record that names the blocks which the last
-   * one made, and is guarded by its stamp. Of a change and its repetitions one alone is ever
-   * applied, and none after a newer one.
+   * Leases the proposed blocks. A guard on the absence of a block does not prevent a repeated write
+   * once the block may have been created and removed. Every leasing transaction therefore replaces
+   * the record that names the blocks created by the last one, guarded by its stamp. Of a
+   * transaction and its repetitions only one is ever applied, and none after a newer transaction.
    */
   private void record() {
     if (isCommitting) {
@@ -282,11 +297,12 @@
         txn,
         result -> {
           isCommitting = false;
-          LOG.info("{} machines leased as blocks {}: {}", hosts.size(), names, result.outcome());
+          LOG.info("leased {} machines as blocks {}: {}", hosts.size(), names, result.outcome());
           if (result.ok()) {
             proposed.keySet().removeAll(names);
           } else if (result.outcome() == Txn.Outcome.CONFLICT) {
-            cluster.feed.barrier(ok -> LOG.debug("reread after blocks not leased: {}", ok));
+            cluster.feed.barrier(
+                ok -> LOG.debug("replica refreshed after a leasing conflict: {}", ok));
           }
         });
   }
--- a/src/main/java/dunlincroft/coordination/MachineHandover.java
+++ b/src/main/java/dunlincroft/coordination/MachineHandover.java
@@ -21,9 +21,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hands empty machines of a shard to others, by their waiting and running work. Only the owner
- * gives, with one write guarded by its shard and the machines' block: a machine that nothing is on
- * and that no record names. Until the outcome is known, nobody uses what was offered.
+ * Moves empty machines from this node's shards to others, in proportion to their waiting and
+ * running work. Only the owner moves a machine, with one write guarded by the shard record and the
+ * machine's block; the machine must have no tasks and no record may name it. Neither owner uses the
+ * machine before it knows the outcome of the write.
  */
 final class MachineHandover {
   private static final Logger LOG = LoggerFactory.getLogger(MachineHandover.class);
@@ -34,7 +35,7 @@
   private final HandoverWriter writer;
   private long plannedLeaseStamp;
 
-  /** Since when waiting jobs have found no room in their shards. */
+  /** Since when waiting jobs have found no free capacity in their shards, by job. */
   private final Map<String, Long> blockedSince = new HashMap<>();
 
   MachineHandover(
@@ -45,7 +46,7 @@
     this.writer = writer;
   }
 
-  /** Plans at each renewal of the leases, and moves what is empty by now. */
+  /** Plans at each renewal of the block leases, and moves the machines that are empty by now. */
   void tick(RecordedCapacity capacity) {
     if (membership.leaseStamp() != plannedLeaseStamp) {
       plannedLeaseStamp = membership.leaseStamp();
@@ -62,11 +63,12 @@
             .add(machine);
       }
     }
-    // One at a time from each block: a second write would meet the first one's stamp.
+    // One move at a time from each block: a second write would conflict with the stamp of the
+    // first.
     ready.forEach((block, moves) -> move(block, moves.entrySet().iterator().next()));
   }
 
-  /** Chooses the blocks to hand over until the next renewal, class by class. */
+  /** Chooses the machines to hand over until the next renewal, class by class. */
   private void plan() {
     cluster.machines.values().stream().filter(m -> !m.isMoving).forEach(m -> m.targetShard = null);
     Set<String> needed = neededByOwnJobs(new RecordedCapacity(cluster));
@@ -108,12 +110,14 @@
               .filter(shard -> cluster.replica.get(Replica.SHARDS, shard) != null)
               .max(Comparator.comparingDouble(shard -> shortfall(shard, machineCounts, targets)))
               .orElse(from);
-      // Half a block is no reason: two holders would hand it to and fro.
+      // Smaller differences do not justify a move: two owners would hand the machine back and
+      // forth.
       if (shortfall(to, machineCounts, targets) < 0.5
           || -shortfall(from, machineCounts, targets) < 0.5) {
         return;
       }
-      LOG.info("host {} goes from shard {} to shard {} once empty", machine.host, from, to);
+      LOG.info(
+          "host {} will move from shard {} to shard {} once it is empty", machine.host, from, to);
       machine.targetShard = to;
       machineCounts.merge(from, -1, Integer::sum);
       machineCounts.merge(to, 1, Integer::sum);
@@ -121,8 +125,8 @@
   }
 
   /**
-   * Machines that waiting jobs of our own shards are about to use. A machine may be the only one in
-   * its job's zone while the numbers by class say that another shard lacks it more.
+   * Machines that waiting jobs of this node's shards are about to use. A machine may be the only
+   * one in its job's zone while the counts by class say that another shard needs it more.
    */
   private Set<String> neededByOwnJobs(RecordedCapacity capacity) {
     Set<String> needed = new HashSet<>();
@@ -136,7 +140,7 @@
     return needed;
   }
 
-  /** Jobs with tasks that wait, the first {@code CLAIMS_LOOKED_AT} in the order of service. */
+  /** Jobs with waiting tasks, the first {@link Constants#CLAIMS_LOOKED_AT} in scheduling order. */
   private List<JobIndex.Job> waitingJobs() {
     return cluster.jobIndex.all().values().stream()
         .filter(job -> job.runnableTasks() > job.placedCount())
@@ -146,18 +150,20 @@
         .toList();
   }
 
-  /** Whether the part of its team's limit that a job's shard has leaves room for one task. */
+  /**
+   * Whether the share of the team's limit that the job's shard has is sufficient for one more task.
+   */
   private boolean hasShareForOneTask(JobIndex.Job job) {
     String team = job.spec.owner();
     Room unused = cluster.usableShare(team, job.shard).minus(cluster.teamUsage(team, job.shard));
     return job.spec.room().fits(unused);
   }
 
-  // ---- waiting work without room in its shard ----
+  // ---- waiting jobs without free capacity in their shard ----
 
   /**
-   * A job that no machine of its shard has room for, while one of another shard has, gets that
-   * machine once it is empty. All owners find the same machine by the records, and its owner acts.
+   * Assigns machines of this node to jobs that fit on no machine of their own shard. All owners
+   * derive the same machine from the records, and its owner hands it over once it is empty.
    */
   private void assignToBlockedJobs(RecordedCapacity capacity) {
     Set<String> blocked = new HashSet<>();
@@ -172,7 +178,10 @@
     blockedSince.keySet().retainAll(blocked);
   }
 
-  /** Whether a job has been without room for a while; records lag behind starts and ends. */
+  /**
+   * Whether a job has been without free capacity long enough to act; records lag behind starts and
+   * ends of tasks.
+   */
   private boolean isBlockedLongEnough(JobIndex.Job job) {
     long since = blockedSince.computeIfAbsent(job.spec.ref(), ref -> cluster.now());
     return cluster.now() - since >= Constants.CLAIM_PATIENCE_MS;
@@ -197,7 +206,7 @@
         .ifPresent(
             machine -> {
               LOG.info(
-                  "host {} goes from shard {} to shard {} once empty, for job {}",
+                  "host {} will move from shard {} to shard {} once it is empty, for job {}",
                   machine.host,
                   machine.shard,
                   job.shard,
@@ -212,8 +221,9 @@
   }
 
   /**
-   * Nothing is on the machine, no order for it is under way, and no record names it: a successor of
-   * ours would otherwise look for a task there, and release the machine under another shard.
+   * Whether the machine has no tasks, no order for it is in flight and no record names it. If a
+   * record named it, a later owner would look for a task there and release the machine although it
+   * belongs to another shard.
    */
   private boolean isMovable(Machine machine) {
     return machine.placements.isEmpty()
@@ -226,7 +236,10 @@
         && machine.session.isAbsenceProven();
   }
 
-  /** Takes the machines out of their block and makes a block of the other shard of them. */
+  /**
+   * Removes the machines from their block and leases them to the other shard as a block of their
+   * own.
+   */
   private void move(BlockIndex.Block block, Map.Entry<String, List<Machine>> moves) {
     String from = block.record().shard();
     String to = moves.getKey();
--- a/src/main/java/dunlincroft/coordination/MachineLifecycle.java
+++ b/src/main/java/dunlincroft/coordination/MachineLifecycle.java
@@ -1,21 +1,27 @@
 package dunlincroft.coordination;
 
-/** How far the return of a machine to the cloud has come. Each event leads from state to state. */
+/**
+ * Progress of a machine's release to the cloud. Every event leads from each state to exactly one
+ * state.
+ */
 enum MachineLifecycle {
-  /** It works, or will once it has booted. */
+  /** The machine runs tasks, or will once it has booted. */
   IN_USE,
-  /** The cloud was asked to take it, and has not answered yet. */
+  /** The release was requested and the cloud has not answered yet. */
   RELEASING,
-  /** The cloud has said that it is gone; its block does not show it yet. */
+  /** The cloud has confirmed the release; the block record still names the machine. */
   RELEASED,
-  /** No longer a machine of ours; a walk made earlier may still lead past it. */
+  /**
+   * This node does not own the machine any more; placement orders computed earlier may still
+   * contain it.
+   */
   DROPPED;
 
   MachineLifecycle onReleaseAsked() {
     return this == IN_USE ? RELEASING : this;
   }
 
-  /** The cloud has not confirmed the release, and may be asked again. */
+  /** The cloud did not confirm the release, which may therefore be requested again. */
   MachineLifecycle onReleaseFailed() {
     return this == RELEASING ? IN_USE : this;
   }
--- a/src/main/java/dunlincroft/coordination/MachineList.java
+++ b/src/main/java/dunlincroft/coordination/MachineList.java
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The cloud's list of machines, which lags. Machines of ours are found by it, and those that stay
- * on it without a block are adopted.
+ * Polls the cloud's list of machines, which lags behind. Provides the endpoints of this node's
+ * machines; machines that stay listed without a block are adopted.
  */
 final class MachineList {
   private static final Logger LOG = LoggerFactory.getLogger(MachineList.class);
@@ -28,10 +28,15 @@
   private final MachineProbe probe;
   private final CloudClient cloud;
   private final MachineDiscovery discovery;
+
+  /** Since when machines have been listed that no block names. */
   private final Map<String, Long> unknownSince = new HashMap<>();
+
   private long nextPollMs;
   private long lastPollMs;
   private boolean isPolling;
+
+  /** Whether the list has to be polled again once the poll in progress is complete. */
   private boolean hasToRepoll;
 
   MachineList(
@@ -47,25 +52,28 @@
     this.discovery = discovery;
   }
 
+  /** Milliseconds of so many usual lags of the list. */
   private long lagMs(double number) {
     return (long) (cluster.settings.listLagS() * number * 1000);
   }
 
   /**
-   * A new holder looks up where its machines are. Workers of one that is alive but cut off stay
-   * with it for a while: unless we ask them ourselves, they seem silent, and are released.
+   * Looks up the endpoints of machines that this node has just acquired. Workers keep reporting for
+   * a while to a former owner that is alive but partitioned from its peers: unless this node
+   * queries them itself, they appear silent and are released.
    */
   void locateMachines() {
     if (cluster.machines.values().stream().allMatch(machine -> machine.endpoint != null)) {
       return;
     }
-    // What a listing under way has shown already was shown before these machines were ours.
+    // Machines that the poll in progress has already listed were not owned by this node at that
+    // time, so the list is polled once more.
     hasToRepoll = isPolling;
     nextPollMs = 0;
     tick();
   }
 
-  /** Where others' machines are is remembered for the day that they become ours. */
+  /** Prefetches the endpoints of machines that this node may acquire. */
   void prefetchEndpoints(boolean takeoverImminent) {
     long intervalMs = takeoverImminent ? Constants.LIST_MS : Constants.LOOK_AHEAD_MS;
     if (cluster.now() - lastPollMs >= intervalMs) {
@@ -74,6 +82,7 @@
     }
   }
 
+  /** Polls the list if that is due. */
   void tick() {
     if (isPolling || cluster.now() < nextPollMs) {
       return;
@@ -94,7 +103,7 @@
         (status, body) -> {
           isPolling = false;
           if (status != 200 || body == null) {
-            LOG.info("machine list not to be had: {}", status);
+            LOG.info("machine list is unavailable: status {}", status);
             return;
           }
           try {
@@ -116,19 +125,19 @@
               }
             }
           } catch (Malformed e) {
-            LOG.info("machine list: {}", e.getMessage());
+            LOG.info("machine list is malformed: {}", e.getMessage());
           }
         });
   }
 
   private void onListed(Listing listing) {
     if (cluster.blocks.blockOf(listing.host()) == null) {
-      // The list lags: a machine returned a moment ago still shows. One that stays is unexpected.
+      // The list lags: a machine released a moment ago is still listed. One that stays is adopted.
       if (membership.isLeader()
           && !discovery.isRecentlyReleased(listing.host())
           && cluster.now() - unknownSince.computeIfAbsent(listing.host(), host -> cluster.now())
               >= lagMs(Constants.UNKNOWN_LAGS)) {
-        LOG.info("host {} is listed and has no block: adopted", listing.host());
+        LOG.info("host {} is listed by the cloud and has no block: adopting it", listing.host());
         discovery.adopt(
             List.of(listing.host()),
             new BlockClass(listing.flavour(), listing.hall(), listing.lendable()),
@@ -145,7 +154,7 @@
       probe.probe(owned);
     }
     if (owned != null && listing.status().equals(Listing.FAILED) && owned.drainReason == null) {
-      LOG.info("host {} is listed as failed", listing.host());
+      LOG.info("host {} is listed as failed by the cloud", listing.host());
       owned.drainReason = "failed";
     }
   }
--- a/src/main/java/dunlincroft/coordination/MachineProbe.java
+++ b/src/main/java/dunlincroft/coordination/MachineProbe.java
@@ -4,7 +4,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Asks machines directly how they are, and judges by that whether they hear us. */
+/** Sends status queries to workers and derives from the outcome whether they can be reached. */
 final class MachineProbe {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProbe.class);
 
@@ -17,12 +17,15 @@
     this.answers = answers;
   }
 
-  /** Told which machines have answered. */
+  /** Sets the listener that gets the machines whose workers have answered. */
   void setAnswerListener(Consumer<Machine> listener) {
     answerListener = listener;
   }
 
-  /** A first sign: nothing new starts there before it has answered a question. */
+  /**
+   * Handles a first sign that a worker does not receive our answers: nothing is started there until
+   * it has answered a query.
+   */
   void suspectMissedAnswer(Machine machine) {
     machine.session.onMissedAnswer();
     probe(machine);
@@ -35,7 +38,10 @@
     }
   }
 
-  /** Asks a machine directly how it is: after a change of hands, and when it has gone silent. */
+  /**
+   * Queries a worker directly: after its shard has changed its owner, and when the worker has
+   * become silent.
+   */
   void probe(Machine machine) {
     if (machine.session.isProbeInFlight() || machine.endpoint == null) {
       return;
--- a/src/main/java/dunlincroft/coordination/MachineProvisioner.java
+++ b/src/main/java/dunlincroft/coordination/MachineProvisioner.java
@@ -22,11 +22,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The leader rents machines for what all work wants, evenly in all zones that have some. */
+/**
+ * Rents machines for the demand of all jobs, as the leader, evenly across all zones that have
+ * capacity.
+ */
 final class MachineProvisioner {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
 
-  /** Machines there, with those that boot or are asked for. */
+  /**
+   * Numbers of machines of a type. The first two include machines that are booting or requested and
+   * exclude those that do not serve; {@code leasedCount} counts all machines in block records.
+   */
   record MachineCounts(int onDemandCount, int preemptibleCount, int leasedCount) {}
 
   private final ClusterState cluster;
@@ -35,18 +41,24 @@
   private final Demand demand;
   private final MachineDiscovery discovery;
   private final ZoneOutageDetector zoneOutages;
+
+  /** Until when no machines of a class are requested again, after the cloud has refused some. */
   private final Map<BlockClass, Long> refusedUntil = new HashMap<>();
+
   private final Map<String, Progress> progress = new HashMap<>();
+
+  /** Machines requested from the cloud that has not answered yet, by class. */
   private final Map<BlockClass, Integer> requested = new HashMap<>();
+
   private final ReplicaHeadroom replicaHeadroom;
 
-  /** Machines that other nodes own and do not hear. */
+  /** Machines of other owners that are silent. */
   private Set<String> silentOnPeers = Set.of();
 
-  /** Services whose replicas found no room at the last look. */
+  /** Services whose replicas did not fit on any machine at the last check. */
   private Set<String> unplacedAtLastCheck = Set.of();
 
-  /** Zones that replicas on their way filled to the last machine at the last look. */
+  /** Zones that had no headroom left at the last check. */
   private Set<String> fullZonesAtLastCheck = Set.of();
 
   MachineProvisioner(
@@ -65,7 +77,7 @@
     this.replicaHeadroom = new ReplicaHeadroom(cluster, demand);
   }
 
-  /** What there is of a type, with what boots or is asked for. */
+  /** Counts the machines of a type, including those that are booting or requested. */
   MachineCounts countMachines(String type) {
     int onDemand = requestedCount(type, false) + discovery.pendingCount(type, false);
     int preemptible = requestedCount(type, true) + discovery.pendingCount(type, true);
@@ -87,14 +99,17 @@
     return new MachineCounts(onDemand, preemptible, leased);
   }
 
-  /** Takes in what other owners tell of their machines; once a second. */
+  /**
+   * Refreshes the set of silent machines of other owners from their heartbeats; called once a
+   * second.
+   */
   void refreshSilentOnPeers() {
     silentOnPeers = membership.silentMachinesOfPeers();
   }
 
   /**
-   * Machines of our shards that do not serve, for the leader: it may own none of them, and would
-   * rent others only once their blocks are gone.
+   * Machines of this node's shards that do not serve. The leader needs them: it may own none of
+   * them and would otherwise rent replacements only after their blocks are removed.
    */
   List<String> silentMachines() {
     return cluster.machines.values().stream()
@@ -105,7 +120,7 @@
         .toList();
   }
 
-  /** Whether a machine serves, or will soon: one that is late to boot may never come. */
+  /** Whether a machine serves or will soon. One that is overdue at boot may never come up. */
   private boolean isExpectedToServe(Machine machine) {
     if (machine.drainReason != null && !machine.drainReason.equals(Consolidation.SURPLUS)) {
       return false;
@@ -119,9 +134,9 @@
     return ageMs < startupS * 1000 * Constants.BOOT_USUAL + Constants.BOOT_EXTRA_MS;
   }
 
-  // ---- hiring ----
+  // ---- provisioning ----
 
-  /** Rents what all work lacks. */
+  /** Rents the machines by which supply falls short of demand. */
   void tick() {
     Map<String, Demand.MachineDemand> needs = demand.smoothedDemand();
     for (MachineType type : cluster.machineTypes.values()) {
@@ -132,8 +147,9 @@
       MachineCounts counts = countMachines(type.label());
       double onDemand = demand.onDemandTarget(type, need);
       int onDemandShortfall = (int) Math.ceil(onDemand) - counts.onDemandCount;
-      // Ordinary machines beyond what services need serve work that may move as well; counted as
-      // in surplus(), so that none is rented to be returned at once.
+      // On-demand machines beyond what services need also serve work that could use preemptible
+      // ones. Consolidation counts in the same way, so that no machine is rented and returned at
+      // once.
       double spareOnDemand = Math.max(0, counts.onDemandCount - onDemand);
       int preemptibleShortfall =
           (int) Math.ceil(need.preemptible - counts.preemptibleCount - spareOnDemand);
@@ -150,9 +166,12 @@
     }
   }
 
-  // ---- replicas without room ----
+  // ---- replicas without headroom ----
 
-  /** What the waiting replicas count on and what they lack, beside all that is asked for. */
+  /**
+   * Determines which machines the waiting replicas need and how many are missing beyond those
+   * already requested.
+   */
   ReplicaHeadroom.Assessment assessReplicas() {
     Map<BlockClass, Integer> pending = new HashMap<>(requested);
     discovery.addPendingCounts(pending);
@@ -160,8 +179,8 @@
   }
 
   /**
-   * Whether replicas stay on a machine, as far as is known: at the first sign that its worker does
-   * not hear us room is looked for, long before the machine is given up.
+   * Whether replicas are expected to stay on a machine. At the first sign that its worker does not
+   * receive answers, capacity is sought elsewhere, long before the machine is released.
    */
   private boolean canKeepReplicas(Machine machine) {
     boolean isUncertain = machine.session.hasReported() && !machine.session.isReachable();
@@ -169,8 +188,9 @@
   }
 
   /**
-   * Rents for replicas that find room on no machine, however many there are by their number. Only
-   * what a second look finds as well: at the first one, starts may not be recorded yet.
+   * Rents for replicas that fit on no machine, even if the total counts suffice. Only shortages
+   * that two consecutive checks find are acted on: at the first check, starts may not be recorded
+   * yet.
    */
   void provisionForReplicas() {
     ReplicaHeadroom.Assessment assessment = assessReplicas();
@@ -194,7 +214,7 @@
               int missing = Math.min(number, headroom);
               if (missing > 0 && !requested.containsKey(machineClass)) {
                 LOG.info(
-                    "replicas of {} services find no room, zones {} have no more: {} more {}",
+                    "replicas of {} services do not fit, zones {} have no headroom: renting {} more {}",
                     assessment.unplacedServices().size(),
                     assessment.fullZones(),
                     missing,
@@ -204,15 +224,15 @@
             });
   }
 
-  /** Whether the cloud has just refused machines of this class, or they could not be heard. */
+  /** Whether the cloud has recently refused machines of this class, or its zone is cut off. */
   private boolean isRefused(BlockClass machineClass) {
     return refusedUntil.getOrDefault(machineClass, 0L) > cluster.now()
         || zoneOutages.isCutOff(machineClass.hall());
   }
 
   /**
-   * Rents in all zones that have not just refused, evenly, so that one zone's loss takes few; false
-   * when every zone refused.
+   * Rents in all zones that have not refused recently, evenly, so that the loss of one zone affects
+   * few machines. Returns false if every zone has refused.
    */
   private boolean rentAcrossZones(MachineType type, boolean preemptible, int number) {
     Map<String, Integer> machinesPerZone = new HashMap<>();
@@ -240,7 +260,7 @@
     return !availableZones.isEmpty();
   }
 
-  /** Rents in one zone; the blocks go to the shard, if one is given. */
+  /** Rents in one zone. The blocks are leased to the shard, if one is given. */
   private void rentInZone(BlockClass machineClass, int number, String shard) {
     requested.put(machineClass, number);
     ObjectNode body =
@@ -255,12 +275,16 @@
 
   // ---- starved work ----
 
-  /** How much of a job was done or placed when it last moved on. */
+  /**
+   * Number of tasks of a job that were done or placed when that number last changed, and the time
+   * of that change.
+   */
   private record Progress(int startedTasks, long sinceMs) {}
 
   /**
-   * Machines may be enough by their number and yet useless to a job: in other zones than its own,
-   * or all of a class in another shard. What waits so long without progress gets one more.
+   * Rents one more machine for each job that has made no progress for too long. The number of
+   * machines may suffice and yet be of no use to a job, because they are in other zones than it
+   * requires or all machines of a class belong to another shard.
    */
   void provisionForStarved() {
     progress.keySet().retainAll(cluster.jobIndex.all().keySet());
@@ -280,6 +304,10 @@
     }
   }
 
+  /**
+   * Rents one machine for a job, if the total number of machines suffices (otherwise the regular
+   * provisioning rents more) and the limits of its team and of rentals allow it.
+   */
   private void provisionFor(JobIndex.Job job) {
     JobSpec spec = job.spec;
     MachineType type = demand.cheapestType(spec);
@@ -308,12 +336,15 @@
     BlockClass machineClass = new BlockClass(type.label(), zone, preemptible);
     if (!requested.containsKey(machineClass) && !isRefused(machineClass)) {
       LOG.info(
-          "job {} makes no progress: one more {} in {} for it", spec.ref(), type.label(), zone);
+          "job {} makes no progress: renting one more {} in {} for it",
+          spec.ref(),
+          type.label(),
+          zone);
       rentInZone(machineClass, 1, job.shard);
     }
   }
 
-  /** Machines asked for and not yet answered. */
+  /** Machines requested from the cloud that has not answered yet. */
   private int requestedCount(String type, boolean preemptible) {
     return requested.entrySet().stream()
         .filter(entry -> entry.getKey().flavour().equals(type))
@@ -330,14 +361,16 @@
         body,
         (status, answer) -> {
           if (status == 0 && retries < Constants.HIRE_TRIES) {
-            // Without an answer it may have been carried out: only its own name may repeat it.
+            // The request may have been executed although there was no response: only the same
+            // request name makes the retry idempotent.
             cluster.env.after(
                 Constants.HIRE_RETRY_MS, () -> send(body, machineClass, shard, retries + 1));
             return;
           }
           requested.remove(machineClass);
           if (status != 200 || answer == null) {
-            LOG.info("cloud refused {} of {}: {}", body.path("number"), machineClass, status);
+            LOG.info(
+                "cloud refused {} of {}: status {}", body.path("number"), machineClass, status);
             boolean isOutOfCapacity =
                 answer != null && answer.path("error").asText().equals("no capacity");
             refusedUntil.put(
@@ -353,7 +386,7 @@
             discovery.adopt(rented, machineClass, cluster.env.wallMillis(), shard);
             discovery.tick();
           } catch (Malformed e) {
-            LOG.info("rental {}: {}", body.path("hire"), e.getMessage());
+            LOG.info("response to rental {} is malformed: {}", body.path("hire"), e.getMessage());
           }
         });
   }
--- a/src/main/java/dunlincroft/coordination/MachineReleaser.java
+++ b/src/main/java/dunlincroft/coordination/MachineReleaser.java
@@ -19,8 +19,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A shard's holder returns machines that are dead, sick, noticed, late or empty and not needed. A
- * release answered 200 is the proof that lets tasks move.
+ * Releases machines of this node's shards that are dead, faulty, about to be preempted by the
+ * cloud, overdue at boot, or empty and not needed. A release that the cloud answers with 200 proves
+ * that the machine's tasks have ended and may be started elsewhere.
  */
 final class MachineReleaser {
   private static final Logger LOG = LoggerFactory.getLogger(MachineReleaser.class);
@@ -54,6 +55,9 @@
     this.suspectAfterMs = cluster.reportIntervalsMs(Constants.SUSPECT_REPORTS);
   }
 
+  /**
+   * Releases the machines for which there is a reason, and removes released ones from their blocks.
+   */
   void tick() {
     zoneOutages.tick();
     List<Machine> toRelease = new ArrayList<>();
@@ -76,10 +80,11 @@
     recordReleased();
   }
 
+  /** Why a machine has to be released now, or null. Queries machines that have become silent. */
   private String releaseReason(Machine machine) {
     long silenceMs = zoneOutages.silentMs(machine);
     if (machine.blockStamp == 0) {
-      return "no block names it";
+      return "not named by any block record";
     }
     if ("failed".equals(machine.drainReason)) {
       return "failed";
@@ -93,13 +98,16 @@
     if (silenceMs > suspectAfterMs) {
       if (machine.session.onSilence()) {
         cluster.metrics.count(Figures.Event.SUSPECT);
-        LOG.info("host {} is suspected: silent for {} ms, asked directly", machine.host, silenceMs);
+        LOG.info(
+            "host {} is suspected: silent for {} ms, querying it directly",
+            machine.host,
+            silenceMs);
       }
       probe.probe(machine);
     }
     if (machine.session.hasReported() || !machine.placements.isEmpty()) {
       return silenceMs > zoneOutages.releaseAfterMs(machine) && zoneOutages.isAnyMachineReachable()
-          ? (machine.session.isUnreachable() ? "deaf, without an answer for " : "silent for ")
+          ? (machine.session.isUnreachable() ? "unreachable, no answer for " : "silent for ")
               + silenceMs
               + " ms"
           : null;
@@ -130,19 +138,19 @@
           isReleasing = false;
           for (Machine machine : machines) {
             if (status == 200) {
-              onReleased(machine); // It stays unusable until its block shows it no longer.
+              onReleased(machine); // Remains unusable until its block no longer names it.
             } else {
               machine.lifecycle = machine.lifecycle.onReleaseFailed();
             }
           }
           recordReleased();
           if (status != 200) {
-            LOG.info("release of {} machines not carried out: {}", machines.size(), status);
+            LOG.info("release of {} machines not confirmed: status {}", machines.size(), status);
           }
         });
   }
 
-  /** The cloud's word: the machine and all that was on it are gone. */
+  /** Handles a confirmed release: the machine and everything that ran on it are gone. */
   private void onReleased(Machine machine) {
     if (machine.lifecycle == MachineLifecycle.DROPPED) {
       return;
@@ -156,9 +164,7 @@
     }
   }
 
-  /**
-   * Takes released machines out of their blocks: a change for each block, however many they are.
-   */
+  /** Removes released machines from their block records, with one write per block. */
   private void recordReleased() {
     Map<BlockIndex.Block, List<String>> releasedHosts = new LinkedHashMap<>();
     for (Machine machine : cluster.machines.values()) {
@@ -191,7 +197,7 @@
               result -> {
                 blocksInCommit.remove(block.name());
                 LOG.debug(
-                    "{} released machines leave block {}: {}",
+                    "removed {} released machines from block {}: {}",
                     hosts.size(),
                     block.name(),
                     result.outcome());
--- a/src/main/java/dunlincroft/coordination/MachineSession.java
+++ b/src/main/java/dunlincroft/coordination/MachineSession.java
@@ -3,40 +3,42 @@
 import dunlincroft.protocol.WorkerReport;
 
 /**
- * The session with the worker of one machine, as its owner knows it: whether the worker hears our
- * answers, which report was the newest, and which orders may still be in flight. It changes by
- * events alone; it neither sends nor decides anything.
+ * The session with the worker of one machine, as its owner knows it: whether the worker receives
+ * our answers, which report was the newest, and which orders may still be in flight. It changes by
+ * events alone; it neither sends messages nor makes decisions.
  */
 final class MachineSession {
-  /** Whether the worker hears us. */
+  /** Whether the worker receives our answers. */
   enum State {
     /** No report has reached this owner yet. */
     UNREPORTED,
-    /** Its newest report or answer shows that it hears us. */
+    /** The newest report or answer shows that the worker receives our answers. */
     REACHABLE,
     /**
-     * A sign that it does not hear us, while its reports may arrive: nothing new starts there, and
-     * its reports alone do not prolong its time, until it answers a question or reports in order.
+     * There is a sign that the worker does not receive our answers, although its reports may
+     * arrive. Nothing new is started there, and its reports alone do not count as a sign of life,
+     * until it answers a query or its reports are consistent again.
      */
     UNCERTAIN,
-    /** It did not answer a question since that sign, either. */
+    /** The worker has not answered a query since that sign either. */
     UNREACHABLE;
 
+    /** A report arrived. */
     State onReport() {
       return REACHABLE;
     }
 
-    /** An answer to a question or command that is not newer than the newest report. */
+    /** An answer to a query or command arrived that is not newer than the newest report. */
     State onAnswer() {
       return this == UNREPORTED ? UNREPORTED : REACHABLE;
     }
 
-    /** A report, or a command without an answer, shows that it may not hear us. */
+    /** A report, or an unanswered command, shows that the worker may not receive our answers. */
     State onMissedAnswer() {
       return this == REACHABLE ? UNCERTAIN : this;
     }
 
-    /** A question got no answer. */
+    /** A query was not answered. */
     State onNoAnswer() {
       return this == UNCERTAIN ? UNREACHABLE : this;
     }
@@ -50,30 +52,37 @@
   private boolean isSuspected;
   private long lastHeardMs;
 
-  /** What the newest report said. */
+  /**
+   * Session number of the newest report: a worker starts a new session whenever its lease has
+   * ended.
+   */
   private long sessionNumber;
 
+  /** Number of the newest report within that session. */
   private long counter;
+
+  /** Highest fence that the worker has seen, by its newest report. */
   private long fenceSeen;
 
   /**
-   * Our fence when we began to act for the machine. A worker that has seen it obeys no holder
-   * before us; later rises, as when another machine of the block leaves, change nothing about that.
+   * The fence under which this owner began to act for the machine. A worker that has seen it obeys
+   * no former owner; later increases, as when another machine leaves the block, do not change that.
    */
   private long firstFence;
 
-  /** A direct command got no answer under this fence: it may still be executed. */
+  /** Fence of a direct command that was not answered and may still be executed. */
   private long unresolvedFence = NO_FENCE;
 
-  /** When a direct command was last given up. */
+  /** When this owner last stopped waiting for the answer to a direct command. */
   private long commandAbandonedMs = NEVER;
 
-  /** What our last answer to a report of its said, and when: a later one must know of it. */
+  /** Fence in our last answer to a report; later reports must have seen it. */
   private long answeredFence;
 
+  /** When that answer was sent. */
   private long answeredMs = NEVER;
 
-  /** That answer carried starts: until the next report they may be on their way. */
+  /** Whether that answer contained starts, which may be in flight until the next report. */
   private boolean hasStartsInFlight;
 
   private boolean isCommandInFlight;
@@ -83,7 +92,7 @@
     this.lastHeardMs = nowMs;
   }
 
-  // ---- what is known ----
+  // ---- queries ----
 
   State state() {
     return state;
@@ -134,43 +143,47 @@
   }
 
   /**
-   * Whether the worker has seen our fence, so that its word is not about a former owner's order.
+   * Whether the worker has seen our fence, so that its reports do not concern orders of a former
+   * owner.
    */
   boolean hasSeenOurFence() {
     return fenceSeen >= firstFence;
   }
 
-  /** Whether a command may still be executed that got no answer. */
+  /** Whether a command that was not answered may still be executed. */
   boolean hasUnresolvedCommand() {
     return unresolvedFence != NO_FENCE;
   }
 
+  /** Whether the unanswered command was sent under this fence. */
   boolean isUnresolved(long fence) {
     return unresolvedFence == fence;
   }
 
-  /** Whether a direct command was given up since the worker was last heard. */
+  /** Whether a direct command has remained unanswered since the worker was last heard. */
   boolean hasAbandonedCommandSinceHeard() {
     return lastHeardMs <= commandAbandonedMs;
   }
 
   /**
-   * An absent task is proven absent only if no order in flight can still bring it: the worker has
-   * seen our fence, every direct call under it was answered, and no answer to a hello with starts
-   * may still be on its way.
+   * Whether a task that is missing from the report is proven not to be on the machine. That
+   * requires that no order in flight can still start it: the worker has seen our fence, every
+   * direct command under it was answered, and no answer to a heartbeat that contains starts may be
+   * in flight.
    */
   boolean isAbsenceProven() {
     return hasSeenOurFence() && !hasUnresolvedCommand() && !hasStartsInFlight && !isCommandInFlight;
   }
 
+  /** Whether a report is newer than those received before. */
   boolean isNewer(WorkerReport report) {
     return report.after(sessionNumber, counter);
   }
 
   /**
-   * Whether a report shows that its worker did not get our answer to the one before: it has not
-   * seen the fence that this said, its lease has ended although this renewed it, or it has reported
-   * elsewhere since, which nobody does who was answered.
+   * Whether a report shows that its worker has not received our answer to the previous report: it
+   * has not seen the fence in that answer, its lease has ended although the answer renewed it, or
+   * it has meanwhile reported to another controller, which a worker does only if it got no answer.
    */
   boolean hasMissedOurAnswer(WorkerReport report, long nowMs, double leaseMs) {
     if (answeredMs < 0) {
@@ -183,14 +196,14 @@
         || (report.counter() > counter + 1 && !isCommandInFlight && !isProbeInFlight);
   }
 
-  // ---- what happens ----
+  // ---- events ----
 
-  /** We begin to act for the machine under a fence. */
+  /** This owner begins to act for the machine under a fence. */
   void onOwned(long fence) {
     firstFence = fence;
   }
 
-  /** A report came that is newer than those before. */
+  /** A report arrived that is newer than those before. */
   void onReport(WorkerReport report, long nowMs) {
     state = state.onReport();
     unreachableSinceMs = NEVER;
@@ -204,23 +217,26 @@
     }
   }
 
-  /** An answer came that a newer report has overtaken. */
+  /** An answer arrived that a newer report has overtaken. */
   void onAnswer() {
     state = state.onAnswer();
     unreachableSinceMs = NEVER;
   }
 
-  /** A sign that the worker does not hear us. */
+  /** There is a sign that the worker does not receive our answers. */
   void onMissedAnswer() {
     state = state.onMissedAnswer();
   }
 
-  /** A report does not prolong the worker's time: it may not hear us. */
+  /**
+   * Resets the time at which the worker was last heard to the time before the newest report: that
+   * report is no proof of life, as the worker may not receive our answers.
+   */
   void discountReport(long previousHeardMs) {
     lastHeardMs = previousHeardMs;
   }
 
-  /** A question got no answer. Returns whether the worker is taken for deaf by that. */
+  /** A query was not answered. Returns whether the worker becomes unreachable by that. */
   boolean onNoAnswer(long nowMs) {
     State before = state;
     state = state.onNoAnswer();
@@ -232,8 +248,9 @@
   }
 
   /**
-   * The worker has restarted. Orders to its former life may still be on their way and would find
-   * nothing that they repeat: nothing counts as absent before it has seen a fence above this one.
+   * The worker has restarted. Orders sent to its former process may still be in flight and would
+   * not be recognised as repetitions: no task counts as absent before the worker has seen a fence
+   * above this one.
    */
   void onRestart(long fence) {
     firstFence = fence + 1;
@@ -244,8 +261,8 @@
   }
 
   /**
-   * The worker has taken or dropped our last answer, as it has one report out at a time. Returns
-   * whether that answer carried starts.
+   * The worker has processed or discarded our last answer, since it has one report in flight at a
+   * time. Returns whether that answer contained starts.
    */
   boolean onAnswerSettled() {
     boolean hadStarts = hasStartsInFlight;
@@ -253,39 +270,47 @@
     return hadStarts;
   }
 
-  /** We answer a report. */
+  /** A report is answered. */
   void onAnswered(long fence, boolean hasStarts, long nowMs) {
     answeredFence = fence;
     answeredMs = nowMs;
     hasStartsInFlight = hasStarts;
   }
 
+  /** Sets whether a status query to the worker is in flight. */
   void setProbeInFlight(boolean inFlight) {
     isProbeInFlight = inFlight;
   }
 
+  /** Sets whether a direct command to the worker is in flight. */
   void setCommandInFlight(boolean inFlight) {
     isCommandInFlight = inFlight;
   }
 
-  /** A command under a fence left and got no answer: it may be executed as long as that stays. */
+  /**
+   * A command was sent under a fence and not answered: it may be executed as long as the fence
+   * stays.
+   */
   void onUnresolvedCommand(long fence) {
     unresolvedFence = Math.max(fence, unresolvedFence);
   }
 
-  /** A command was given up: until it is heard again the worker is left to its reports. */
+  /** A command was not answered: the worker gets no direct commands until it is heard again. */
   void onCommandAbandoned(long nowMs) {
     commandAbandonedMs = nowMs;
   }
 
-  /** The worker was silent for too long. Returns whether this is new. */
+  /** The worker was silent for too long. Returns whether it was not yet suspected. */
   boolean onSilence() {
     boolean isNew = hasReported() && !isSuspected;
     isSuspected |= isNew;
     return isNew;
   }
 
-  /** We could not hear anybody for so long: that time is no silence of the worker's. */
+  /**
+   * This process was paused and received nothing: that time does not count as silence of the
+   * worker.
+   */
   void onPause(long pauseMs, long nowMs) {
     lastHeardMs = Math.min(nowMs, lastHeardMs + pauseMs);
   }
--- a/src/main/java/dunlincroft/coordination/StatusQuery.java
+++ b/src/main/java/dunlincroft/coordination/StatusQuery.java
@@ -7,11 +7,14 @@
 import dunlincroft.transport.Env.Reply;
 import java.util.function.Consumer;
 
-/** Asks a worker for its status, past the order in which its heartbeats arrive. */
+/**
+ * Queries a worker for its status directly, independently of the order in which its heartbeats
+ * arrive.
+ */
 final class StatusQuery {
-  /** What came back from the address at which the worker of a host was asked. */
+  /** The response from the endpoint at which the worker of a host was queried. */
   record Answer(String host, Reply reply) {
-    /** Whether anybody answered, if only with a body that names another host. */
+    /** Whether there was a successful response, even if its body names another host. */
     boolean hasArrived() {
       return reply.status() == 200;
     }
@@ -24,7 +27,7 @@
 
   private StatusQuery() {}
 
-  /** Asks once; {@code then} gets the answer, also when there is none. */
+  /** Sends one query; {@code onAnswer} gets the outcome, also when there is no response. */
   static void query(Env env, String host, String endpoint, Consumer<Answer> onAnswer) {
     env.call(
         new Env.Call(endpoint, "GET", Wire.STATUS, null, Constants.WORKER_CALL_MS),
--- a/src/main/java/dunlincroft/coordination/WorkerOrders.java
+++ b/src/main/java/dunlincroft/coordination/WorkerOrders.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes what the records say orders to workers. A recorded placement is an order to run until the
- * worker shows the task.
+ * Derives the orders to workers from the records. A recorded placement is an order to run until the
+ * worker reports the task.
  */
 final class WorkerOrders {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerOrders.class);
@@ -20,7 +20,7 @@
   private final ClusterState cluster;
   private final FenceRaiser fences;
 
-  /** Sends a machine's orders straight away, once starts that waited may leave. */
+  /** Called with a machine once its deferred starts may be sent. */
   private Consumer<Machine> startsDueListener = machine -> {};
 
   WorkerOrders(ClusterState cluster, FenceRaiser fences) {
@@ -28,13 +28,14 @@
     this.fences = fences;
   }
 
+  /** Sets the listener that gets the machines whose deferred starts may be sent. */
   void setStartsDueListener(Consumer<Machine> listener) {
     this.startsDueListener = listener;
   }
 
   /**
-   * What the worker must be told, given its last report and the records. Starts under a condition
-   * go into answers to reports alone: these are never executed late, as direct orders may be.
+   * The orders for a worker, by its last report and the records. Starts under a condition are sent
+   * only in answers to reports: these are never executed late, as direct commands may be.
    */
   List<Order> forMachine(Machine machine, long fence, boolean isDirect) {
     List<Order> orders = new ArrayList<>();
@@ -59,13 +60,14 @@
       }
       if (!reported.exited()) {
         LOG.info(
-            "host {} runs {} try {} that no record names: stopped",
+            "host {} runs orphaned task {} attempt {}: stopping it",
             machine.host,
             reported.id(),
             reported.attempt());
         orders.add(Order.kill(reported.id(), reported.attempt(), 0));
       } else if (absenceProven) {
-        // Once reaped a late run of the same try would start it anew; hence the proof.
+        // Once the worker has discarded the ended task, a delayed order to run the same attempt
+        // would start it again; hence the proof that no such order is in flight.
         orders.add(Order.reap(reported.id(), reported.attempt()));
       } else {
         needsProof = true;
@@ -75,10 +77,10 @@
       if (placement.recorded && !placement.inLastReport) {
         if (!placement.stopRequested) {
           if (cluster.feed.stalenessMs() > Constants.STALE_MS) {
-            continue; // Out of touch: what runs goes on, nothing starts.
+            continue; // Without the state service nothing is started; what runs continues.
           }
           if (fence > cluster.replica.revision()) {
-            // No start leaves under a fence above a cancellation that we have not read.
+            // No start is sent under a fence above a cancellation that has not been read.
             deferStarts(machine);
             continue;
           }
@@ -100,7 +102,10 @@
     return orders.size() > Constants.MAX_ORDERS ? orders.subList(0, Constants.MAX_ORDERS) : orders;
   }
 
-  /** Its fence is a write of our own, ahead of what we have read: a moment more. */
+  /**
+   * Sends the starts a little later: the fence comes from a write of this controller that the
+   * change feed has not delivered yet.
+   */
   private void deferStarts(Machine machine) {
     if (!machine.hasDeferredStarts) {
       machine.hasDeferredStarts = true;
@@ -115,7 +120,7 @@
     }
   }
 
-  /** A record about this task is on its way, or belongs to a shard of another node. */
+  /** Whether a record of this task is being written or belongs to a shard of another node. */
   private boolean hasUnsettledRecord(Piece reported) {
     JobRun job = cluster.jobs.get(reported.job());
     if (job == null) {
--- a/src/main/java/dunlincroft/coordination/WorkerProtocol.java
+++ b/src/main/java/dunlincroft/coordination/WorkerProtocol.java
@@ -1,6 +1,6 @@
 package dunlincroft.coordination;
 
-/** The parts that deal with workers, put together. */
+/** Creates and connects the components that communicate with workers. */
 final class WorkerProtocol {
   final ReportHandler reports;
   final MachineProbe probe;
--- a/src/test/java/dunlincroft/coordination/MachineLifecycleTest.java
+++ b/src/test/java/dunlincroft/coordination/MachineLifecycleTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How a machine's return to the cloud proceeds. */
+/** Transitions of a machine's release to the cloud. */
 class MachineLifecycleTest {
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/dunlincroft/coordination/MachineSessionTest.java
+++ b/src/test/java/dunlincroft/coordination/MachineSessionTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The states of a worker's session, and what may be concluded from them. */
+/** State transitions of a worker's session, and the conclusions drawn from them. */
 class MachineSessionTest {
   private static final double LEASE_MS = 10_000;
   private static final long OUR_FENCE = 7;
@@ -54,22 +54,22 @@
 
   @ParameterizedTest
   @CsvSource({
-    "UNREPORTED, report, HEARS",
+    "UNREPORTED, report, REACHABLE",
     "UNREPORTED, answer, UNREPORTED",
     "UNREPORTED, missed answer, UNREPORTED",
     "UNREPORTED, no answer, UNREPORTED",
-    "HEARS, report, HEARS",
-    "HEARS, answer, HEARS",
-    "HEARS, missed answer, UNSURE",
-    "HEARS, no answer, HEARS",
-    "UNSURE, report, HEARS",
-    "UNSURE, answer, HEARS",
-    "UNSURE, missed answer, UNSURE",
-    "UNSURE, no answer, DEAF",
-    "DEAF, report, HEARS",
-    "DEAF, answer, HEARS",
-    "DEAF, missed answer, DEAF",
-    "DEAF, no answer, DEAF",
+    "REACHABLE, report, REACHABLE",
+    "REACHABLE, answer, REACHABLE",
+    "REACHABLE, missed answer, UNCERTAIN",
+    "REACHABLE, no answer, REACHABLE",
+    "UNCERTAIN, report, REACHABLE",
+    "UNCERTAIN, answer, REACHABLE",
+    "UNCERTAIN, missed answer, UNCERTAIN",
+    "UNCERTAIN, no answer, UNREACHABLE",
+    "UNREACHABLE, report, REACHABLE",
+    "UNREACHABLE, answer, REACHABLE",
+    "UNREACHABLE, missed answer, UNREACHABLE",
+    "UNREACHABLE, no answer, UNREACHABLE",
   })
   void eachEventLeadsToOneState(
       MachineSession.State from, String event, MachineSession.State expected) {
@@ -114,8 +114,10 @@
     assertThat(hasMissed(report(1, 3, 0))).as("nothing was answered yet").isFalse();
     session.onAnswered(OUR_FENCE, false, 100);
     assertThat(hasMissed(report(1, 2, OUR_FENCE))).isFalse();
-    assertThat(hasMissed(report(1, 2, OUR_FENCE - 1))).as("the fence was not seen").isTrue();
-    assertThat(hasMissed(report(1, 3, OUR_FENCE))).as("it reported elsewhere").isTrue();
+    assertThat(hasMissed(report(1, 2, OUR_FENCE - 1))).as("it has not seen the fence").isTrue();
+    assertThat(hasMissed(report(1, 3, OUR_FENCE)))
+        .as("it has reported to another controller")
+        .isTrue();
     assertThat(hasMissed(report(2, 1, OUR_FENCE))).as("its lease has ended").isTrue();
     session.setCommandInFlight(true);
     assertThat(hasMissed(report(1, 3, OUR_FENCE))).as("it answers a command").isFalse();
@@ -138,16 +140,16 @@
     session.onReport(report(1, 1, OUR_FENCE), 100);
     assertThat(session.isAbsenceProven()).isTrue();
     session.setCommandInFlight(true);
-    assertThat(session.isAbsenceProven()).as("a command is out").isFalse();
+    assertThat(session.isAbsenceProven()).as("a command is in flight").isFalse();
     session.setCommandInFlight(false);
     session.onAnswered(OUR_FENCE, true, 100);
-    assertThat(session.isAbsenceProven()).as("starts are on their way").isFalse();
+    assertThat(session.isAbsenceProven()).as("starts are in flight").isFalse();
     assertThat(session.onAnswerSettled()).isTrue();
     assertThat(session.onAnswerSettled()).isFalse();
     assertThat(session.isAbsenceProven()).isTrue();
     session.onUnresolvedCommand(OUR_FENCE);
     session.onReport(report(1, 2, OUR_FENCE), 200);
-    assertThat(session.isAbsenceProven()).as("a command may yet be executed").isFalse();
+    assertThat(session.isAbsenceProven()).as("a command may still be executed").isFalse();
     session.onReport(report(1, 3, OUR_FENCE + 1), 300);
     assertThat(session.isAbsenceProven()).isTrue();
   }
@@ -159,14 +161,14 @@
     session.onRestart(OUR_FENCE);
     session.onReport(report(1, 1, 0), 200);
     assertThat(session.hasSeenOurFence()).isFalse();
-    assertThat(hasMissed(report(1, 5, 0))).as("its former life was answered").isFalse();
+    assertThat(hasMissed(report(1, 5, 0))).as("the answer went to its former process").isFalse();
     session.onReport(report(1, 2, OUR_FENCE), 300);
     assertThat(session.isAbsenceProven()).isFalse();
     session.onReport(report(1, 3, OUR_FENCE + 1), 400);
     assertThat(session.isAbsenceProven()).isTrue();
   }
 
-  /** Whatever happens in between: an unresolved command is forgotten for a higher fence alone. */
+  /** Whatever events occur in between: only a higher fence resolves an unanswered command. */
   @Property
   void onlyAHigherFenceResolvesAnUnansweredCommand(
       @ForAll @Size(max = 30) List<@IntRange(max = 6) Integer> events) {
