--- a/src/main/java/dunlincroft/coordination/AnswerHandler.java
+++ b/src/main/java/dunlincroft/coordination/AnswerHandler.java
@@ -11,20 +11,20 @@
 final class AnswerHandler {
   private static final Logger LOG = LoggerFactory.getLogger(AnswerHandler.class);
 
-  private final ClusterState world;
-  private final ReportHandler reports;
-  private final FenceRaiser fences;
+  private final ClusterState clusterState;
+  private final ReportHandler reportHandler;
+  private final FenceRaiser fenceRaiser;
 
-  AnswerHandler(ClusterState world, ReportHandler reports, FenceRaiser fences) {
-    this.world = world;
-    this.reports = reports;
-    this.fences = fences;
+  AnswerHandler(ClusterState clusterState, ReportHandler reportHandler, FenceRaiser fenceRaiser) {
+    this.clusterState = clusterState;
+    this.reportHandler = reportHandler;
+    this.fenceRaiser = fenceRaiser;
   }
 
   /** The newest message of a worker at the moment at which it is asked something. */
-  record Known(long tenure, long counter) {
-    static Known of(Machine machine) {
-      return new Known(machine.session.sessionNumber(), machine.session.counter());
+  record LastReport(long sessionNumber, long counter) {
+    static LastReport of(Machine machine) {
+      return new LastReport(machine.session.sessionNumber(), machine.session.counter());
     }
   }
 
@@ -32,18 +32,19 @@
    * Takes in the report in an answer, unless another machine gave it or one that knows a newer
    * fence. Returns whether it was taken in.
    */
-  boolean take(Machine machine, Known known, Reply reply) {
+  boolean process(Machine machine, LastReport lastReport, Reply reply) {
     try {
       WorkerReport report = WorkerReport.parse(Cbor.parse(reply.body()));
-      if (!report.host().equals(machine.host) || report.fence() > world.fenceToken(machine)) {
+      if (!report.host().equals(machine.host)
+          || report.fence() > clusterState.fenceToken(machine)) {
         return false;
       }
-      if (!report.after(known.tenure, known.counter)) {
-        restarted(machine, report);
+      if (!report.after(lastReport.sessionNumber, lastReport.counter)) {
+        handleRestart(machine, report);
       } else if (machine.session.isNewer(report)) {
-        reports.read(machine, report);
+        reportHandler.handle(machine, report);
       } else {
-        reports.answered(machine); // A report overtook the answer.
+        reportHandler.onOvertakenAnswer(machine); // A report overtook the answer.
       }
       return true;
     } catch (Malformed e) {
@@ -58,11 +59,11 @@
    * Orders to its former life may still be on their way and would find nothing that they repeat:
    * the fence is raised, and until the worker has seen that nothing counts as absent.
    */
-  private void restarted(Machine machine, WorkerReport report) {
+  private void handleRestart(Machine machine, WorkerReport report) {
     LOG.info("host {} has restarted: its {} tasks too", machine.host, machine.placements.size());
-    long fence = world.fenceToken(machine);
+    long fence = clusterState.fenceToken(machine);
     machine.session.onRestart(fence);
-    reports.read(machine, report);
-    fences.raise(machine);
+    reportHandler.handle(machine, report);
+    fenceRaiser.raise(machine);
   }
 }
--- a/src/main/java/dunlincroft/coordination/Autoscaler.java
+++ b/src/main/java/dunlincroft/coordination/Autoscaler.java
@@ -26,7 +26,7 @@
 
   private final ClusterState cluster;
   private final Membership membership;
-  private final Ledger placementLog;
+  private final PlacementLog placementLog;
   private final CloudClient cloud;
   private final MachineDiscovery discovery;
   private final MachineList machineList;
@@ -48,7 +48,7 @@
       ClusterState cluster,
       Membership membership,
       WorkerProtocol workers,
-      Ledger placementLog,
+      PlacementLog placementLog,
       CloudClient cloud,
       Demand demand,
       MachineDiscovery discovery) {
@@ -138,7 +138,7 @@
       provisioner.provisionForReplicas();
       provisioner.provisionForStarved();
     }
-    placementLog.sweep();
+    placementLog.removeOrphanedPages();
   }
 
   /**
--- a/src/main/java/dunlincroft/coordination/ClusterState.java
+++ b/src/main/java/dunlincroft/coordination/ClusterState.java
@@ -46,7 +46,7 @@
   final JobIndex jobIndex;
   final BlockIndex blocks;
   ChangeFeed feed;
-  Figures metrics;
+  Metrics metrics;
 
   /** Start conditions set by other parts of the product, such as the settlement calendar. */
   Conditions conditions = new Conditions(List.of());
@@ -211,7 +211,7 @@
     if (recordedJob == null) {
       if (run != null) {
         jobs.remove(id);
-        run.forget();
+        run.detachFromMachines();
         placementDue = true;
       }
       return;
@@ -362,10 +362,10 @@
    * per job.
    */
   boolean allowsSpot(JobRun job) {
-    if (job.spot == null) {
-      job.spot = allowsSpot(job.spec);
+    if (job.spotAllowed == null) {
+      job.spotAllowed = allowsSpot(job.spec);
     }
-    return job.spot;
+    return job.spotAllowed;
   }
 
   /**
@@ -441,7 +441,7 @@
     Room sum = Room.NONE;
     for (JobRun job : jobs.values()) {
       if (job.spec.owner().equals(team) && job.shard.equals(shard)) {
-        sum = sum.plus(job.spec.room().times(job.booked()));
+        sum = sum.plus(job.spec.room().times(job.chargedTaskCount()));
       }
     }
     return sum;
--- a/src/main/java/dunlincroft/coordination/Consolidation.java
+++ b/src/main/java/dunlincroft/coordination/Consolidation.java
@@ -154,8 +154,8 @@
    */
   private void evictAll(Machine machine) {
     for (Placement placement : machine.placements.values()) {
-      placement.job.halt(placement);
-      cluster.metrics.count(Figures.Event.MOVE);
+      placement.job.markForStop(placement);
+      cluster.metrics.count(Metrics.Event.MOVE);
     }
     commands.push(machine);
   }
@@ -211,7 +211,7 @@
           cluster.machines.values().stream()
               .filter(other -> other != machine && other.shard.equals(machine.shard))
               .filter(other -> cluster.isUsable(other) && cluster.allows(placement.job, other))
-              .filter(other -> placement.job.sides == null)
+              .filter(other -> placement.job.migrationSides == null)
               .filter(
                   other ->
                       !spec.daemon()
@@ -220,7 +220,7 @@
               .filter(
                   other ->
                       other.zone.equals(machine.zone)
-                          || placement.job.perZone.getInt(other.zone) < spec.zoneMost())
+                          || placement.job.tasksPerZone.getInt(other.zone) < spec.zoneMost())
               .filter(other -> spec.room().fits(free.getOrDefault(other, other.free())))
               .findFirst()
               .orElse(null);
--- a/src/main/java/dunlincroft/coordination/Controller.java
+++ b/src/main/java/dunlincroft/coordination/Controller.java
@@ -35,15 +35,15 @@
   private final SettlementCalendar calendar;
   private final MigrationLedger migrations;
   private final StartConditions startConditions;
-  private final Ledger placementLog;
+  private final PlacementLog placementLog;
   private final WorkerProtocol workerProtocol;
   private final HeartbeatRouter heartbeats;
-  private final StandIn proxyOwner;
+  private final ProxyOwner proxyOwner;
   private final Scheduler scheduler;
   private final Autoscaler autoscaler;
   private final Handover handover;
-  private final JobDesk jobService;
-  private final Figures metrics;
+  private final JobService jobService;
+  private final Metrics metrics;
 
   private long tickDueMs;
   private int tickNumber;
@@ -59,19 +59,19 @@
         new StateStore(
             env, settings.state(), settings.stateRps(), settings.stateWriteRps(), replica);
     cluster = new ClusterState(settings, policy, env, store, replica, jobIndex);
-    metrics = new Figures(env::wallMillis);
+    metrics = new Metrics(env::wallMillis);
     cluster.metrics = metrics;
     calendar = new SettlementCalendar(env, store, replica, jobIndex, settings.clockOffMs());
     migrations = new MigrationLedger(env, store, replica, jobIndex, cluster.blocks);
     cluster.conditions = new Conditions(List.of(calendar, migrations));
     startConditions = new StartConditions(cluster);
-    placementLog = new Ledger(cluster, startConditions);
+    placementLog = new PlacementLog(cluster, startConditions);
     workerProtocol = new WorkerProtocol(cluster, placementLog);
     cluster.feed = new ChangeFeed(env, store, replica, this::onSynced);
     membership =
         new Membership(
             new NodeContext(settings, env, store, replica, cluster.feed), new ShardCallbacks());
-    proxyOwner = new StandIn(cluster, membership);
+    proxyOwner = new ProxyOwner(cluster, membership);
     scheduler = new Scheduler(cluster, placementLog, startConditions);
     CloudClient cloud =
         new CloudClient(
@@ -84,13 +84,13 @@
     autoscaler =
         new Autoscaler(cluster, membership, workerProtocol, placementLog, cloud, demand, discovery);
     handover = new Handover(cluster, membership, demand);
-    jobService = new JobDesk(cluster, membership);
+    jobService = new JobService(cluster, membership);
     replica.setListener(this::onRecordChanged);
-    placementLog.onRecorded(machines -> machines.forEach(workerProtocol.commands::push));
+    placementLog.setRecordedListener(machines -> machines.forEach(workerProtocol.commands::push));
   }
 
   /** Answers users' requests about jobs. */
-  public JobDesk jobService() {
+  public JobService jobService() {
     return jobService;
   }
 
@@ -115,7 +115,7 @@
       case Replica.JOBS -> cluster.onJobChanged(name);
       case Replica.CANCELS -> onCancellation(name);
       case Replica.BLOCKS -> cluster.blocks.onChange(name).forEach(cluster::onBlockChanged);
-      case Replica.SHARDS -> placementLog.forget();
+      case Replica.SHARDS -> placementLog.discardUnowned();
       case Replica.TYPES -> {
         if (cluster.machineTypes.isEmpty() && cluster.replica.get(kind, name) != null) {
           cluster.setMachineTypes(
@@ -178,8 +178,8 @@
     public void acquire(String shard, long stamp) {
       cluster.acquire(shard, stamp);
       scheduleTick(0);
-      metrics.count(Figures.Event.TAKEOVER);
-      heartbeats.answerWaiting();
+      metrics.count(Metrics.Event.TAKEOVER);
+      heartbeats.retryPending();
       cluster.machines.values().stream()
           .filter(machine -> !machine.session.hasReported())
           .sorted(
@@ -201,7 +201,7 @@
 
     @Override
     public void cancelledByPeer(String job) {
-      proxyOwner.cancelled(job);
+      proxyOwner.onCancelled(job);
       JobRun run = cluster.jobs.get(job);
       if (run != null && run.stopMode() != JobRun.StopMode.ABANDON) {
         LOG.info("job {} is stopped: a peer has confirmed its cancellation to the user", job);
@@ -248,7 +248,7 @@
     tasks.every(slowPeriodMs, "rate limits of the state service", now -> updateRateShares());
     tasks.every(slowPeriodMs, "membership", now -> membership.tick());
     tasks.every(slowPeriodMs, "admission", this::tickAdmission);
-    tasks.every(slowPeriodMs, "answer waiting heartbeats", now -> heartbeats.answerWaiting());
+    tasks.every(slowPeriodMs, "answer waiting heartbeats", now -> heartbeats.retryPending());
     tasks.every(slowPeriodMs, "machine types", now -> autoscaler.refreshTypes());
     tasks.every(slowPeriodMs, "leases and conditions, as the leader", now -> runLeaderDuties());
     tasks.every(
@@ -348,7 +348,7 @@
         "node {} stood still for {} ms: silence of others during this pause does not count",
         nodeName(),
         pauseMs);
-    metrics.count(Figures.Event.STANDSTILL);
+    metrics.count(Metrics.Event.STANDSTILL);
     cluster.onProcessPause(pauseMs);
     membership.pauseDetected(pauseMs);
     jobService.admission().pauseDetected();
--- a/src/main/java/dunlincroft/coordination/DirectCommands.java
+++ b/src/main/java/dunlincroft/coordination/DirectCommands.java
@@ -51,7 +51,7 @@
     }
     machine.session.setCommandInFlight(true);
     ObjectNode body = Order.body(fence, orders).put("tenure", machine.session.sessionNumber());
-    AnswerHandler.Known lastReport = AnswerHandler.Known.of(machine);
+    AnswerHandler.LastReport lastReport = AnswerHandler.LastReport.of(machine);
     cluster.env.call(
         new Env.Call(
             machine.endpoint, "POST", Wire.COMMANDS, Cbor.bytes(body), Constants.WORKER_CALL_MS),
@@ -66,7 +66,8 @@
     return order.verb().equals(Wire.REAP);
   }
 
-  private void onReply(Machine machine, long fence, AnswerHandler.Known lastReport, Reply reply) {
+  private void onReply(
+      Machine machine, long fence, AnswerHandler.LastReport lastReport, Reply reply) {
     machine.session.setCommandInFlight(false);
     boolean pushRequested = machine.isPushPending;
     machine.isPushPending = false;
@@ -85,7 +86,7 @@
     if (cluster.machines.get(machine.host) != machine) {
       return;
     }
-    if (!answers.take(machine, lastReport, reply)) {
+    if (!answers.process(machine, lastReport, reply)) {
       return;
     }
     if (reply.status() == 200 || pushRequested) {
--- a/src/main/java/dunlincroft/coordination/FaultAttribution.java
+++ b/src/main/java/dunlincroft/coordination/FaultAttribution.java
@@ -9,19 +9,19 @@
   private static final Logger LOG = LoggerFactory.getLogger(FaultAttribution.class);
 
   private final ClusterState cluster;
-  private final Ledger placementLog;
+  private final PlacementLog placementLog;
 
-  FaultAttribution(ClusterState cluster, Ledger placementLog) {
+  FaultAttribution(ClusterState cluster, PlacementLog placementLog) {
     this.cluster = cluster;
     this.placementLog = placementLog;
   }
 
   /** A task has run for a while or to its end. */
   void onRanWell(Placement placement) {
-    if (placement.job.ranWell()) {
+    if (placement.job.onTaskRan()) {
       LOG.info(
           "job {} runs on host {}: it is not faulty", placement.job.id, placement.machine.host);
-      placementLog.dirty(placement.job, placement.task, false);
+      placementLog.markDirty(placement.job, placement.task, false);
     }
   }
 
@@ -33,7 +33,7 @@
   void onFailure(Machine machine, Placement placement) {
     JobRun job = placement.job;
     boolean wasFaulty = job.faulty;
-    if (job.failed(machine.host, cluster.now())) {
+    if (job.onTaskFailed(machine.host, cluster.now())) {
       machine.consecutiveFailures++;
     }
     if (job.faulty) {
@@ -59,7 +59,7 @@
           machine.consecutiveFailures,
           machine.failedJobs.size());
       machine.drainReason = "sick";
-      machine.placements.values().forEach(other -> other.job.halt(other));
+      machine.placements.values().forEach(other -> other.job.markForStop(other));
     }
   }
 
--- a/src/main/java/dunlincroft/coordination/HandoverWriter.java
+++ b/src/main/java/dunlincroft/coordination/HandoverWriter.java
@@ -38,7 +38,7 @@
           switch (result.outcome()) {
             case OK -> {
               LOG.info("handover committed: {}", description);
-              cluster.metrics.count(Figures.Event.HANDOVER);
+              cluster.metrics.count(Metrics.Event.HANDOVER);
               onSettled.run();
             }
             case CONFLICT -> awaitReplica(description, onSettled);
--- a/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
@@ -12,22 +12,25 @@
 final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
-  private final ClusterState world;
-  private final ReportHandler reports;
+  private final ClusterState clusterState;
+  private final ReportHandler reportHandler;
   private final WorkerOrders workerOrders;
   private final MachineProbe probe;
 
   HeartbeatHandler(
-      ClusterState world, ReportHandler reports, WorkerOrders workerOrders, MachineProbe probe) {
-    this.world = world;
-    this.reports = reports;
+      ClusterState clusterState,
+      ReportHandler reportHandler,
+      WorkerOrders workerOrders,
+      MachineProbe probe) {
+    this.clusterState = clusterState;
+    this.reportHandler = reportHandler;
     this.workerOrders = workerOrders;
     this.probe = probe;
   }
 
   /** Answers a heartbeat of a machine whose shard we hold; null: another fence is ahead of ours. */
   ObjectNode answer(Machine machine, WorkerReport report) {
-    long fence = world.fenceToken(machine);
+    long fence = clusterState.fenceToken(machine);
     if (report.fence() > fence) {
       LOG.info(
           "host {} has seen fence {} above ours of {}: another node acts for it",
@@ -52,26 +55,32 @@
       probe.probe(machine);
       return Order.body(fence, List.of());
     }
-    boolean sign =
-        machine.session.hasMissedOurAnswer(report, world.now(), world.settings.leaseS() * 1000);
-    long heard = machine.session.lastHeardMs();
+    boolean missedAnswer =
+        machine.session.hasMissedOurAnswer(
+            report, clusterState.now(), clusterState.settings.leaseS() * 1000);
+    long previouslyHeardMs = machine.session.lastHeardMs();
     // The worker has taken or dropped the answer before: it has one report out at a time. An older
     // report that comes late says nothing about the answer to a newer one.
-    boolean starts = machine.session.onAnswerSettled();
-    reports.read(machine, report);
-    sign |= starts && machine.placements.values().stream().anyMatch(HeartbeatHandler::notShown);
-    if (sign) {
-      machine.session.discountReport(heard);
+    boolean answerCarriedStarts = machine.session.onAnswerSettled();
+    reportHandler.handle(machine, report);
+    missedAnswer |=
+        answerCarriedStarts
+            && machine.placements.values().stream().anyMatch(HeartbeatHandler::isUnconfirmedStart);
+    if (missedAnswer) {
+      machine.session.discountReport(previouslyHeardMs);
       probe.suspectMissedAnswer(machine);
     }
     List<Order> orders = workerOrders.forMachine(machine, fence, false);
-    boolean starting = orders.stream().anyMatch(order -> order.verb().equals(Wire.RUN));
-    machine.session.onAnswered(fence, starting, world.now());
+    boolean hasStarts = orders.stream().anyMatch(order -> order.verb().equals(Wire.RUN));
+    machine.session.onAnswered(fence, hasStarts, clusterState.now());
     return Order.body(fence, orders);
   }
 
   /** A start that left in an answer and is not in the report after it. */
-  private static boolean notShown(Placement p) {
-    return p.recorded && p.orderSent && !p.stopRequested && !p.inLastReport;
+  private static boolean isUnconfirmedStart(Placement placement) {
+    return placement.recorded
+        && placement.orderSent
+        && !placement.stopRequested
+        && !placement.inLastReport;
   }
 }
--- a/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
@@ -16,128 +16,129 @@
  */
 final class HeartbeatRouter {
   private static final int MISDIRECTED = 421;
-  private static final byte[] EMPTY = new byte[0];
+  private static final byte[] EMPTY_BODY = new byte[0];
 
-  private final ClusterState world;
-  private final Membership members;
-  private final HeartbeatHandler handler;
-  private final FenceRaiser fences;
+  private final ClusterState clusterState;
+  private final Membership membership;
+  private final HeartbeatHandler heartbeatHandler;
+  private final FenceRaiser fenceRaiser;
   private final MachineDiscovery discovery;
-  private final StandIn standIn;
+  private final ProxyOwner proxyOwner;
 
   /** A report whose machine's shard is between two holders. */
-  private record Waiting(WorkerReport report, Responder out, long since) {}
+  private record PendingHeartbeat(WorkerReport report, Responder out, long receivedAt) {}
 
-  private final List<Waiting> waiting = new ArrayList<>();
+  private final List<PendingHeartbeat> pendingHeartbeats = new ArrayList<>();
 
   HeartbeatRouter(
-      ClusterState world,
-      Membership members,
-      WorkerProtocol workers,
+      ClusterState clusterState,
+      Membership membership,
+      WorkerProtocol workerProtocol,
       MachineDiscovery discovery,
-      StandIn standIn) {
-    this.world = world;
-    this.members = members;
-    this.handler = workers.heartbeats;
-    this.fences = workers.fences;
+      ProxyOwner proxyOwner) {
+    this.clusterState = clusterState;
+    this.membership = membership;
+    this.heartbeatHandler = workerProtocol.heartbeats;
+    this.fenceRaiser = workerProtocol.fences;
     this.discovery = discovery;
-    this.standIn = standIn;
+    this.proxyOwner = proxyOwner;
   }
 
   /** Answers a worker: orders from the holder of its machine's shard, or the way there. */
   void answer(WorkerReport report, Responder out) {
-    answer(report, out, world.now());
+    answer(report, out, clusterState.now());
   }
 
-  private void answer(WorkerReport report, Responder out, long since) {
-    if (!world.feed.synced()) {
-      unavailable(UnavailableCause.NOT_SYNCED, out);
+  private void answer(WorkerReport report, Responder out, long receivedAt) {
+    if (!clusterState.feed.synced()) {
+      respondUnavailable(UnavailableCause.NOT_SYNCED, out);
       return;
     }
-    BlockIndex.Block block = world.blocks.blockOf(report.host());
+    BlockIndex.Block block = clusterState.blocks.blockOf(report.host());
     if (block == null) {
-      unknown(report, out);
+      handleUnknownMachine(report, out);
       return;
     }
     String shard = block.record().shard();
-    Machine machine = world.machines.get(report.host());
-    if (world.owns(shard) && machine != null) {
+    Machine machine = clusterState.machines.get(report.host());
+    if (clusterState.owns(shard) && machine != null) {
       // A cancellation that some user was told and we do not know of could outlast its time.
-      if (members.cancellationLagMs() > world.maxCancellationLagMs()) {
-        unavailable(UnavailableCause.UNSURE_OF_CANCELS, out);
+      if (membership.cancellationLagMs() > clusterState.maxCancellationLagMs()) {
+        respondUnavailable(UnavailableCause.UNSURE_OF_CANCELS, out);
         return;
       }
-      ObjectNode answer = handler.answer(machine, report);
+      ObjectNode answer = heartbeatHandler.answer(machine, report);
       if (answer != null) {
         out.send(200, Cbor.bytes(answer), 0);
         return;
       }
-      world.feed.barrier(ok -> fences.raiseAbove(report.host(), report.fence()));
+      clusterState.feed.barrier(ok -> fenceRaiser.raiseAbove(report.host(), report.fence()));
     }
-    if (standIn.answersFor(report, block)) {
-      out.send(200, Cbor.bytes(standIn.answer(report)), 0);
+    if (proxyOwner.canAnswer(report, block)) {
+      out.send(200, Cbor.bytes(proxyOwner.answer(report)), 0);
       return;
     }
-    if (world.owns(shard) && machine != null) {
+    if (clusterState.owns(shard) && machine != null) {
       out.send(MISDIRECTED, Cbor.bytes(Cbor.map()), 0);
       return;
     }
-    if (standIn.nobodyFollows(shard)) {
-      away(null, out);
+    if (proxyOwner.hasNoReachableOwner(shard)) {
+      redirect(null, out);
       return;
     }
-    String holder = members.ownerOf(shard);
-    boolean others = holder != null && !holder.equals(world.settings.node());
-    if (others && since == world.now()) {
-      world.endpoints.put(report.host(), report.endpoint());
-      if (members.recordRedirect(report.host(), shard)) {
+    String owner = membership.ownerOf(shard);
+    boolean ownedByPeer = owner != null && !owner.equals(clusterState.settings.node());
+    if (ownedByPeer && receivedAt == clusterState.now()) {
+      clusterState.endpoints.put(report.host(), report.endpoint());
+      if (membership.recordRedirect(report.host(), shard)) {
         StatusQuery.query(
-            world.env,
+            clusterState.env,
             report.host(),
             report.endpoint(),
             answer -> {
               if (answer.isFromHost()) {
-                members.reportUnreachable(report.host(), shard);
+                membership.reportUnreachable(report.host(), shard);
               }
             });
       }
     }
-    if (members.isOwnerChanging(shard) && world.now() - since < Constants.HELLO_WAIT_MS) {
+    if (membership.isOwnerChanging(shard)
+        && clusterState.now() - receivedAt < Constants.HELLO_WAIT_MS) {
       // Sent to a node that is gone it would lose five seconds, and perhaps come here again.
-      waiting.add(new Waiting(report, out, since));
+      pendingHeartbeats.add(new PendingHeartbeat(report, out, receivedAt));
     } else {
-      away(others ? holder : null, out);
+      redirect(ownedByPeer ? owner : null, out);
     }
   }
 
-  private void unavailable(UnavailableCause cause, Responder out) {
-    world.metrics.turnedAway(Figures.Asker.WORKER, cause);
-    out.send(503, EMPTY, 0);
+  private void respondUnavailable(UnavailableCause cause, Responder out) {
+    clusterState.metrics.countUnavailable(Metrics.RequestType.WORKER, cause);
+    out.send(503, EMPTY_BODY, 0);
   }
 
-  private static void away(String steward, Responder out) {
-    ObjectNode away = Cbor.map();
-    if (steward != null) {
-      away.put("steward", steward);
+  private static void redirect(String ownerName, Responder out) {
+    ObjectNode body = Cbor.map();
+    if (ownerName != null) {
+      body.put("steward", ownerName);
     }
-    out.send(MISDIRECTED, Cbor.bytes(away), 0);
+    out.send(MISDIRECTED, Cbor.bytes(body), 0);
   }
 
   /** Looks again at workers that wait for their shard to change hands. */
-  void answerWaiting() {
-    if (!waiting.isEmpty()) {
-      List<Waiting> again = List.copyOf(waiting);
-      waiting.clear();
-      again.forEach(each -> answer(each.report, each.out, each.since));
+  void retryPending() {
+    if (!pendingHeartbeats.isEmpty()) {
+      List<PendingHeartbeat> retried = List.copyOf(pendingHeartbeats);
+      pendingHeartbeats.clear();
+      retried.forEach(pending -> answer(pending.report, pending.out, pending.receivedAt));
     }
   }
 
-  private void unknown(WorkerReport report, Responder out) {
-    if (members.isLeader()) {
+  private void handleUnknownMachine(WorkerReport report, Responder out) {
+    if (membership.isLeader()) {
       discovery.onReport(report);
-      unavailable(UnavailableCause.NEW_MACHINE, out);
+      respondUnavailable(UnavailableCause.NEW_MACHINE, out);
       return;
     }
-    away(members.leader(), out);
+    redirect(membership.leader(), out);
   }
 }
--- a/src/main/java/dunlincroft/coordination/JobPage.java
+++ b/src/main/java/dunlincroft/coordination/JobPage.java
@@ -10,10 +10,10 @@
   long stamp;
 
   /** The first entry of the log that the page does not hold; 0: none. */
-  long oldest;
+  long firstUncoveredEntry;
 
   /** A write of it has no answer yet. */
-  boolean uncertain;
+  boolean outcomeUnknown;
 
   JobPage(JobRecord record, int index) {
     this.record = record;
@@ -29,7 +29,7 @@
   }
 
   /** What the log has recorded of these tasks up to this number. */
-  PageRecord record(long upTo) {
-    return new PageRecord(record.stateOf(this), upTo);
+  PageRecord record(long lastEntry) {
+    return new PageRecord(record.stateOf(this), lastEntry);
   }
 }
--- a/src/main/java/dunlincroft/coordination/JobRecord.java
+++ b/src/main/java/dunlincroft/coordination/JobRecord.java
@@ -15,12 +15,12 @@
   private final JobRun job;
 
   /** What the log and the pages say: where tasks may be, and which are done. */
-  private final Int2ObjectOpenHashMap<Placement> recorded = new Int2ObjectOpenHashMap<>();
+  private final Int2ObjectOpenHashMap<Placement> recordedPlacements = new Int2ObjectOpenHashMap<>();
 
   private final BitSet recordedDone = new BitSet();
 
   /** Tasks whose state differs from the record, and since when the first of them does; -1: none. */
-  private final BitSet changed = new BitSet();
+  private final BitSet dirtyTasks = new BitSet();
 
   long dirtySince = -1;
 
@@ -41,7 +41,7 @@
     return job;
   }
 
-  private JobPage page(int task) {
+  private JobPage pageOf(int task) {
     return pageAt(task / job.pageTasks);
   }
 
@@ -52,90 +52,93 @@
     return pages[index];
   }
 
-  void dirty(int task, long nowMs, boolean forStart) {
-    changed.set(task);
+  void markDirty(int task, long nowMs, boolean isStart) {
+    dirtyTasks.set(task);
     dirtySince = dirtySince < 0 ? nowMs : dirtySince;
-    urgent |= forStart;
+    urgent |= isStart;
   }
 
   /** Whether what we know of a task is what is recorded of it. */
-  boolean clean(int task) {
-    return !changed.get(task) && (inFlight == null || !inFlight.tasks.get(task));
+  boolean isClean(int task) {
+    return !dirtyTasks.get(task) && (inFlight == null || !inFlight.tasks.get(task));
   }
 
-  boolean updateInFlight() {
+  boolean hasUpdateInFlight() {
     return inFlight != null;
   }
 
   /** Takes the news, of so many tasks at the most, to be recorded. */
-  JobUpdate nextUpdate(int most) {
+  JobUpdate nextUpdate(int maxTasks) {
     BitSet tasks = new BitSet();
-    BitSet isDone = new BitSet();
-    List<Placement> places = new ArrayList<>();
-    int n = 0;
-    for (int task = changed.nextSetBit(0);
-        task >= 0 && n < most;
-        task = changed.nextSetBit(task + 1)) {
-      n++;
+    BitSet completedTasks = new BitSet();
+    List<Placement> placements = new ArrayList<>();
+    int count = 0;
+    for (int task = dirtyTasks.nextSetBit(0);
+        task >= 0 && count < maxTasks;
+        task = dirtyTasks.nextSetBit(task + 1)) {
+      count++;
       tasks.set(task);
       if (job.done.get(task)) {
-        isDone.set(task);
+        completedTasks.set(task);
       } else if (job.placed.get(task) != null) {
-        places.add(job.placed.get(task));
+        placements.add(job.placed.get(task));
       }
     }
-    return new JobUpdate(job, tasks, isDone, places);
+    return new JobUpdate(job, tasks, completedTasks, placements);
   }
 
   /** News leave for the log: until their outcome is known, none of the job follow. */
-  void send(JobUpdate news) {
-    inFlight = news;
-    changed.andNot(news.tasks);
-    dirtySince = changed.isEmpty() ? -1 : dirtySince;
-    urgent &= !changed.isEmpty();
+  void beginUpdate(JobUpdate update) {
+    inFlight = update;
+    dirtyTasks.andNot(update.tasks);
+    dirtySince = dirtyTasks.isEmpty() ? -1 : dirtySince;
+    urgent &= !dirtyTasks.isEmpty();
   }
 
   /** The news were certainly not recorded, or may yet be: later ones say all of it again. */
-  void unsent(long nowMs) {
-    inFlight.tasks.stream().forEach(task -> dirty(task, nowMs, true));
+  void abortUpdate(long nowMs) {
+    inFlight.tasks.stream().forEach(task -> markDirty(task, nowMs, true));
     inFlight = null;
   }
 
   /** The news are recorded. Returns the placements whose orders may leave now. */
-  List<Placement> settle(long number) {
-    JobUpdate news = inFlight;
+  List<Placement> commitUpdate(long entryNumber) {
+    JobUpdate update = inFlight;
     inFlight = null;
-    news.tasks.stream().forEach(recorded::remove);
-    recordedDone.andNot(news.tasks);
-    recordedDone.or(news.done);
-    List<Placement> starting = new ArrayList<>();
-    for (Placement p : news.places) {
-      recorded.put(p.task, p);
-      if (!p.recorded) {
-        p.recorded = true;
-        starting.add(p);
+    update.tasks.stream().forEach(recordedPlacements::remove);
+    recordedDone.andNot(update.tasks);
+    recordedDone.or(update.done);
+    List<Placement> startable = new ArrayList<>();
+    for (Placement placement : update.placements) {
+      recordedPlacements.put(placement.task, placement);
+      if (!placement.recorded) {
+        placement.recorded = true;
+        startable.add(placement);
       }
     }
-    for (int task = news.tasks.nextSetBit(0); task >= 0; task = news.tasks.nextSetBit(task + 1)) {
-      job.recorded(task, recorded.containsKey(task));
-      JobPage page = page(task);
-      page.oldest = page.oldest == 0 ? number : page.oldest;
+    for (int task = update.tasks.nextSetBit(0);
+        task >= 0;
+        task = update.tasks.nextSetBit(task + 1)) {
+      job.onTaskRecorded(task, recordedPlacements.containsKey(task));
+      JobPage page = pageOf(task);
+      page.firstUncoveredEntry =
+          page.firstUncoveredEntry == 0 ? entryNumber : page.firstUncoveredEntry;
     }
-    job.forgetMachinesBut(recorded.values());
-    return starting;
+    job.removeUnreferencedMachines(recordedPlacements.values());
+    return startable;
   }
 
   /** Takes over what the records say. */
-  void load(JobIndex.Job from) {
-    recordedDone.or(from.doneTasks());
-    for (int number : from.pageNumbers()) {
-      pageAt(number).oldest = from.oldestUncovered(number);
+  void load(JobIndex.Job recordedJob) {
+    recordedDone.or(recordedJob.doneTasks());
+    for (int pageNumber : recordedJob.pageNumbers()) {
+      pageAt(pageNumber).firstUncoveredEntry = recordedJob.oldestUncovered(pageNumber);
     }
   }
 
   /** A record names this placement. */
-  void names(Placement p) {
-    recorded.put(p.task, p);
+  void addRecordedPlacement(Placement placement) {
+    recordedPlacements.put(placement.task, placement);
   }
 
   boolean hasManyPages() {
@@ -143,8 +146,8 @@
   }
 
   /** Whether something is not recorded yet, or not known to be. */
-  boolean hasChanges() {
-    return inFlight != null || !changed.isEmpty();
+  boolean hasUnrecordedChanges() {
+    return inFlight != null || !dirtyTasks.isEmpty();
   }
 
   /** What the log has recorded of the tasks of a page. */
@@ -153,20 +156,20 @@
     int end = Math.min(first + job.pageTasks, job.spec.pieces());
     List<TaskState.Place> places = new ArrayList<>();
     for (int task = first; task < end; task++) {
-      Placement p = recorded.get(task);
-      if (p != null) {
-        places.add(new TaskState.Place(task - first, p.machine.host, p.attempt));
+      Placement placement = recordedPlacements.get(task);
+      if (placement != null) {
+        places.add(new TaskState.Place(task - first, placement.machine.host, placement.attempt));
       }
     }
     return new TaskState(recordedDone.get(first, end), new BitSet(), places, job.faulty);
   }
 
   /** The first entry of the log that some page does not hold; Long.MAX_VALUE: none. */
-  long oldestMissing() {
+  long oldestUncoveredEntry() {
     long oldest = Long.MAX_VALUE;
     for (JobPage page : pages) {
-      if (page != null && page.oldest > 0) {
-        oldest = Math.min(oldest, page.oldest);
+      if (page != null && page.firstUncoveredEntry > 0) {
+        oldest = Math.min(oldest, page.firstUncoveredEntry);
       }
     }
     return oldest;
--- a/src/main/java/dunlincroft/coordination/JobRun.java
+++ b/src/main/java/dunlincroft/coordination/JobRun.java
@@ -32,10 +32,10 @@
   final long acceptedAt;
   final BitSet done = new BitSet();
   final Int2ObjectLinkedOpenHashMap<Placement> placed = new Int2ObjectLinkedOpenHashMap<>();
-  final Object2IntOpenHashMap<String> perZone = new Object2IntOpenHashMap<>();
+  final Object2IntOpenHashMap<String> tasksPerZone = new Object2IntOpenHashMap<>();
 
   /** Whether it may go to spot machines, once somebody asked. */
-  Boolean spot;
+  Boolean spotAllowed;
 
   /** What the operators let one of its tasks lose, once somebody asked. */
   long preemptLossMs = -1;
@@ -43,31 +43,31 @@
   /** Where it stands in the order of the present round; worked out once for each. */
   double slack;
 
-  boolean within;
+  boolean isGuaranteed;
 
   /** What its starts must be guarded by, as a condition said when they were decided. */
-  Map<String, Long> guards = Map.of();
+  Map<String, Long> startGuards = Map.of();
 
   /** When its tasks must be over, in milliseconds of the time of day; Long.MAX_VALUE: whenever. */
-  long endsByMs = Long.MAX_VALUE;
+  long deadlineMs = Long.MAX_VALUE;
 
   /** Its starts may not be executed late. */
-  boolean strict;
+  boolean noLateStart;
 
   /** The sides that its tasks are shared out over; null: none. */
-  MigrationSides sides;
+  MigrationSides migrationSides;
 
   /** The side for which places are sought at present. */
-  private int side = -1;
+  private int sideFilter = -1;
 
   /** How its tasks are stopped. */
   private StopMode stopMode = StopMode.SAVE_FIRST;
 
   /** When it was accepted, if it has waited too long for that order; else Long.MAX_VALUE. */
-  long overdueSince = Long.MAX_VALUE;
+  long overdueAcceptedAt = Long.MAX_VALUE;
 
   /** What it wants of a machine, for the memory of what found no room in a round. */
-  Scheduler.PlacementRequest wish;
+  Scheduler.PlacementRequest placementRequest;
 
   /** Its shard and team, as one text: whose part of the limit it counts against. */
   final String limitKey;
@@ -76,9 +76,9 @@
   final JobRecord record;
 
   /** Tasks that are placed or done; and how many, as every round asks for each job. */
-  private final BitSet busy = new BitSet();
+  private final BitSet placedOrDone = new BitSet();
 
-  private int busyCount;
+  private int placedOrDoneCount;
   private int doneCount;
 
   /**
@@ -86,22 +86,22 @@
    * that takes over runs what records name; were room given away before the record lets go of it,
    * the records together could exceed the limit.
    */
-  private final BitSet booked = new BitSet();
+  private final BitSet chargedTasks = new BitSet();
 
-  private int bookedCount;
+  private int chargedCount;
 
   /** Machines that a record may name. */
-  private final Set<Machine> hosts = new HashSet<>();
+  private final Set<Machine> referencedMachines = new HashSet<>();
 
   boolean cancelled;
 
   boolean finishing;
 
   /** Some placement has been told to go since withdrawUnsent last found none to take back. */
-  boolean halting;
+  boolean withdrawalPending;
 
   /** Failures in a row, and when the next try may be made. */
-  private int failures;
+  private int consecutiveFailures;
 
   long retryAtMs;
 
@@ -109,10 +109,10 @@
   boolean everFailed;
 
   /** Machines that it failed on; none once a task of it has run, as the fault is not the job's. */
-  private final Set<String> failedOn = new HashSet<>();
+  private final Set<String> failedHosts = new HashSet<>();
 
   /** A task of it has run for a while, or to its end, since this holder began. */
-  private boolean ran;
+  private boolean hasRun;
 
   /** Fails wherever it goes, as far as is known: it gets one machine at a time until it is not. */
   boolean faulty;
@@ -121,7 +121,7 @@
   long waitingSince = -1;
 
   /** No look for tasks to stop before this: each goes over all machines. */
-  long nextPreempt;
+  long nextPreemptionAt;
 
   JobRun(String id, JobSpec spec, String shard, int pageTasks, long acceptedAt) {
     this.id = id;
@@ -137,155 +137,161 @@
     return shard + "/" + team;
   }
 
-  int booked() {
-    return bookedCount;
+  int chargedTaskCount() {
+    return chargedCount;
   }
 
-  private void book(int task, boolean is) {
-    if (booked.get(task) != is) {
-      booked.set(task, is);
-      bookedCount += is ? 1 : -1;
+  private void setCharged(int task, boolean value) {
+    if (chargedTasks.get(task) != value) {
+      chargedTasks.set(task, value);
+      chargedCount += value ? 1 : -1;
     }
   }
 
-  private void busy(int task, boolean is) {
-    if (busy.get(task) != is) {
-      busy.set(task, is);
-      busyCount += is ? 1 : -1;
+  private void setPlacedOrDone(int task, boolean value) {
+    if (placedOrDone.get(task) != value) {
+      placedOrDone.set(task, value);
+      placedOrDoneCount += value ? 1 : -1;
     }
   }
 
   /** Whether any task of it is placed or done. */
-  boolean begun() {
-    return busyCount > 0;
+  boolean hasStarted() {
+    return placedOrDoneCount > 0;
   }
 
   /** Tasks that are done. */
-  int doneTasks() {
+  int doneTaskCount() {
     return doneCount;
   }
 
   // ---- the record ----
 
-  void dirty(int task, long nowMs, boolean forStart) {
-    record.dirty(task, nowMs, forStart);
+  void markDirty(int task, long nowMs, boolean isStart) {
+    record.markDirty(task, nowMs, isStart);
   }
 
   /** Takes over what the records say. */
-  void load(JobIndex.Job from) {
-    faulty = from.faulty();
-    ran = !faulty && from.doneCount() > 0;
-    from.doneTasks().stream().forEach(this::finish);
-    record.load(from);
+  void load(JobIndex.Job recordedJob) {
+    faulty = recordedJob.faulty();
+    hasRun = !faulty && recordedJob.doneCount() > 0;
+    recordedJob.doneTasks().stream().forEach(this::markDone);
+    record.load(recordedJob);
   }
 
   /** A placement that a record names. */
-  void placeRecorded(Placement p) {
-    p.recorded = true;
-    place(p);
-    record.names(p);
+  void placeRecorded(Placement placement) {
+    placement.recorded = true;
+    place(placement);
+    record.addRecordedPlacement(placement);
   }
 
   /**
    * Entries of a job too large for one slot may disagree on where its tasks are: wait for the last.
    */
-  boolean unsettled() {
-    return record.hasManyPages() && (spec.spread() || spec.samePlace()) && record.hasChanges();
+  boolean mustAwaitLog() {
+    return record.hasManyPages()
+        && (spec.spread() || spec.samePlace())
+        && record.hasUnrecordedChanges();
   }
 
   /** A task was recorded: it counts against the limit while a record names a machine for it. */
-  void recorded(int task, boolean named) {
-    book(task, named || placed.containsKey(task));
+  void onTaskRecorded(int task, boolean namesMachine) {
+    setCharged(task, namesMachine || placed.containsKey(task));
   }
 
   /** Lets go of machines that neither a record nor a placement names any more. */
-  void forgetMachinesBut(Collection<Placement> recorded) {
-    Set<Machine> still = new HashSet<>();
-    recorded.forEach(p -> still.add(p.machine));
-    placed.values().forEach(p -> still.add(p.machine));
-    hosts.removeIf(machine -> !still.contains(machine) && machine.recordedJobs.remove(this));
+  void removeUnreferencedMachines(Collection<Placement> recorded) {
+    Set<Machine> referenced = new HashSet<>();
+    recorded.forEach(placement -> referenced.add(placement.machine));
+    placed.values().forEach(placement -> referenced.add(placement.machine));
+    referencedMachines.removeIf(
+        machine -> !referenced.contains(machine) && machine.recordedJobs.remove(this));
   }
 
   /** A task failed on a machine. Returns whether that speaks against the machine. */
-  boolean failed(String host, long nowMs) {
-    failures++;
+  boolean onTaskFailed(String host, long nowMs) {
+    consecutiveFailures++;
     everFailed = true;
-    if (!ran) {
-      failedOn.add(host);
-      faulty |= failedOn.size() >= Constants.JOB_FAULTY_AFTER;
+    if (!hasRun) {
+      failedHosts.add(host);
+      faulty |= failedHosts.size() >= Constants.JOB_FAULTY_AFTER;
     }
-    int pauses = failures - Constants.JOB_PAUSED_AFTER;
-    if (faulty || pauses >= 0) {
-      long pause = Constants.JOB_RETRY_MS << Math.max(0, Math.min(10, pauses));
-      retryAtMs = nowMs + Math.min(Constants.JOB_RETRY_MAX_MS, pause);
+    int backoffSteps = consecutiveFailures - Constants.JOB_PAUSED_AFTER;
+    if (faulty || backoffSteps >= 0) {
+      long backoffMs = Constants.JOB_RETRY_MS << Math.max(0, Math.min(10, backoffSteps));
+      retryAtMs = nowMs + Math.min(Constants.JOB_RETRY_MAX_MS, backoffMs);
     }
-    return ran;
+    return hasRun;
   }
 
   /** A task has run for a while or to its end. Returns whether the job was taken for faulty. */
-  boolean ranWell() {
-    boolean was = faulty;
-    ran = true;
+  boolean onTaskRan() {
+    boolean wasFaulty = faulty;
+    hasRun = true;
     faulty = false;
-    failures = 0;
-    failedOn.clear();
-    return was;
+    consecutiveFailures = 0;
+    failedHosts.clear();
+    return wasFaulty;
   }
 
   /** The job is over: no record of it names a machine. */
-  void forget() {
-    hosts.forEach(machine -> machine.recordedJobs.remove(this));
+  void detachFromMachines() {
+    referencedMachines.forEach(machine -> machine.recordedJobs.remove(this));
   }
 
-  int waiting() {
-    return spec.pieces() - busyCount;
+  int waitingTaskCount() {
+    return spec.pieces() - placedOrDoneCount;
   }
 
   /** Looks for places for the tasks of one side alone; -1: for all. Returns how many wait. */
-  int seek(int wanted) {
-    side = wanted;
-    int n = 0;
-    for (int task = nextWaiting(0); task >= 0 && side >= 0; task = nextWaiting(task + 1)) {
-      n++;
+  int filterBySide(int side) {
+    sideFilter = side;
+    int count = 0;
+    for (int task = nextWaitingTask(0);
+        task >= 0 && sideFilter >= 0;
+        task = nextWaitingTask(task + 1)) {
+      count++;
     }
-    return side < 0 ? waiting() : n;
+    return sideFilter < 0 ? waitingTaskCount() : count;
   }
 
   /** The first waiting task from {@code from} on, of the side that is sought for, or -1. */
-  int nextWaiting(int from) {
-    int task = busy.nextClearBit(from);
-    while (side >= 0 && task < spec.pieces() && sides.sideOf(task) != side) {
-      task = busy.nextClearBit(task + 1);
+  int nextWaitingTask(int from) {
+    int task = placedOrDone.nextClearBit(from);
+    while (sideFilter >= 0 && task < spec.pieces() && migrationSides.sideOf(task) != sideFilter) {
+      task = placedOrDone.nextClearBit(task + 1);
     }
     return task < spec.pieces() ? task : -1;
   }
 
   /** Whether a machine is of the side that is sought for. */
-  boolean seeks(Machine machine) {
-    return side < 0 || has(side, machine);
+  boolean matchesSideFilter(Machine machine) {
+    return sideFilter < 0 || belongsToSide(sideFilter, machine);
   }
 
   /** Whether a task is where its side is. */
-  boolean onItsSide(Placement p) {
-    return sides == null || has(sides.sideOf(p.task), p.machine);
+  boolean isOnAssignedSide(Placement placement) {
+    return migrationSides == null
+        || belongsToSide(migrationSides.sideOf(placement.task), placement.machine);
   }
 
-  private boolean has(int wanted, Machine machine) {
-    return sides.contains(
-        wanted, machine.host, machine.typeLabel, machine.zone, machine.preemptible);
+  private boolean belongsToSide(int side, Machine machine) {
+    return migrationSides.contains(
+        side, machine.host, machine.typeLabel, machine.zone, machine.preemptible);
   }
 
   /** Marks a placement as one that is to go. */
-  void halt(Placement p) {
-    p.stopRequested = true;
-    halting = true;
+  void markForStop(Placement placement) {
+    placement.stopRequested = true;
+    withdrawalPending = true;
   }
 
   /** Takes back starts that are not recorded yet: what they were decided by has changed. */
-  void haltUnrecorded() {
-    for (Placement p : placed.values()) {
-      if (!p.recorded) {
-        halt(p);
+  void markUnrecordedForStop() {
+    for (Placement placement : placed.values()) {
+      if (!placement.recorded) {
+        markForStop(placement);
       }
     }
   }
@@ -295,7 +301,7 @@
   }
 
   /** What a condition makes of its tasks now; null: nothing. A cancelled job stays so. */
-  void endedBy(CutOffAction end) {
+  void applyConditionEnd(CutOffAction end) {
     if (stopMode != StopMode.ABANDON) {
       stopMode = end == CutOffAction.STOP ? StopMode.WITHOUT_SAVING : StopMode.SAVE_FIRST;
     }
@@ -310,40 +316,40 @@
   /** It is cancelled, by its record or as its user was told by another controller. */
   void abandon() {
     stopMode = StopMode.ABANDON;
-    haltAll();
+    markAllForStop();
   }
 
-  void haltAll() {
-    placed.values().forEach(this::halt);
+  void markAllForStop() {
+    placed.values().forEach(this::markForStop);
   }
 
-  void place(Placement p) {
-    placed.put(p.task, p);
-    book(p.task, true);
-    busy(p.task, true);
-    perZone.addTo(p.machine.zone, 1);
-    p.machine.add(p);
-    hosts.add(p.machine);
-    p.machine.recordedJobs.add(this);
+  void place(Placement placement) {
+    placed.put(placement.task, placement);
+    setCharged(placement.task, true);
+    setPlacedOrDone(placement.task, true);
+    tasksPerZone.addTo(placement.machine.zone, 1);
+    placement.machine.add(placement);
+    referencedMachines.add(placement.machine);
+    placement.machine.recordedJobs.add(this);
   }
 
   /** Takes a placement away: the task is proven not to be on the machine any more. */
-  void clear(Placement p) {
-    if (placed.get(p.task) == p) {
-      placed.remove(p.task);
-      busy(p.task, false);
-      perZone.addTo(p.machine.zone, -1);
-      p.machine.remove(p);
+  void removePlacement(Placement placement) {
+    if (placed.get(placement.task) == placement) {
+      placed.remove(placement.task);
+      setPlacedOrDone(placement.task, false);
+      tasksPerZone.addTo(placement.machine.zone, -1);
+      placement.machine.remove(placement);
     }
   }
 
-  void finish(int task) {
+  void markDone(int task) {
     doneCount += done.get(task) ? 0 : 1;
     done.set(task);
-    busy(task, true);
+    setPlacedOrDone(task, true);
   }
 
-  boolean complete() {
+  boolean isComplete() {
     return !spec.daemon() && doneCount == spec.pieces();
   }
 }
--- a/src/main/java/dunlincroft/coordination/JobUpdate.java
+++ b/src/main/java/dunlincroft/coordination/JobUpdate.java
@@ -12,13 +12,13 @@
   private final JobRun job;
   final BitSet tasks;
   final BitSet done;
-  final List<Placement> places;
+  final List<Placement> placements;
 
-  JobUpdate(JobRun job, BitSet tasks, BitSet done, List<Placement> places) {
+  JobUpdate(JobRun job, BitSet tasks, BitSet done, List<Placement> placements) {
     this.job = job;
     this.tasks = tasks;
     this.done = done;
-    this.places = places;
+    this.placements = placements;
   }
 
   JobRun job() {
@@ -26,19 +26,20 @@
   }
 
   /** Whether a task is to start once this is recorded. */
-  boolean starts() {
-    return places.stream().anyMatch(p -> !p.recorded);
+  boolean hasStarts() {
+    return placements.stream().anyMatch(placement -> !placement.recorded);
   }
 
-  ObjectNode entry(long number) {
+  ObjectNode toLogEntry(long entryNumber) {
     BitSet waiting = (BitSet) tasks.clone();
     waiting.andNot(done);
-    List<TaskState.Place> at = new ArrayList<>();
-    for (Placement p : places) {
-      waiting.clear(p.task);
-      at.add(new TaskState.Place(p.task, p.machine.host, p.attempt));
+    List<TaskState.Place> places = new ArrayList<>();
+    for (Placement placement : placements) {
+      waiting.clear(placement.task);
+      places.add(new TaskState.Place(placement.task, placement.machine.host, placement.attempt));
     }
-    return new LogRecord.Entry(number, job.id, new TaskState(done, waiting, at, job.faulty))
+    return new LogRecord.Entry(
+            entryNumber, job.id, new TaskState(done, waiting, places, job.faulty))
         .toNode();
   }
 }
--- a/src/main/java/dunlincroft/coordination/MachineProbe.java
+++ b/src/main/java/dunlincroft/coordination/MachineProbe.java
@@ -34,7 +34,7 @@
   private void onUnanswered(Machine machine) {
     if (machine.session.onNoAnswer(cluster.now())) {
       LOG.info("host {} is deaf: its reports come, and our answers do not arrive", machine.host);
-      cluster.metrics.count(Figures.Event.DEAF);
+      cluster.metrics.count(Metrics.Event.DEAF);
     }
   }
 
@@ -47,7 +47,7 @@
       return;
     }
     machine.session.setProbeInFlight(true);
-    AnswerHandler.Known lastReport = AnswerHandler.Known.of(machine);
+    AnswerHandler.LastReport lastReport = AnswerHandler.LastReport.of(machine);
     StatusQuery.query(
         cluster.env,
         machine.host,
@@ -59,7 +59,7 @@
           }
           if (!answer.hasArrived()) {
             onUnanswered(machine);
-          } else if (answers.take(machine, lastReport, answer.reply())) {
+          } else if (answers.process(machine, lastReport, answer.reply())) {
             answerListener.accept(machine);
           }
         });
--- a/src/main/java/dunlincroft/coordination/MachineReleaser.java
+++ b/src/main/java/dunlincroft/coordination/MachineReleaser.java
@@ -70,7 +70,7 @@
             machine.host,
             reason,
             machine.placements.size());
-        cluster.metrics.count(Figures.Event.RELEASE);
+        cluster.metrics.count(Metrics.Event.RELEASE);
         toRelease.add(machine);
       }
     }
@@ -97,7 +97,7 @@
     }
     if (silenceMs > suspectAfterMs) {
       if (machine.session.onSilence()) {
-        cluster.metrics.count(Figures.Event.SUSPECT);
+        cluster.metrics.count(Metrics.Event.SUSPECT);
         LOG.info(
             "host {} is suspected: silent for {} ms, querying it directly",
             machine.host,
@@ -156,7 +156,7 @@
       return;
     }
     for (Placement placement : List.copyOf(machine.placements.values())) {
-      reports.clear(placement, "released");
+      reports.removePlacement(placement, "released");
     }
     machine.lifecycle = machine.lifecycle.onReleaseConfirmed();
     if (machine.blockStamp == 0 || cluster.blocks.blockOf(machine.host) == null) {
--- a/src/main/java/dunlincroft/coordination/Placement.java
+++ b/src/main/java/dunlincroft/coordination/Placement.java
@@ -23,7 +23,8 @@
   boolean orderSent;
 
   /**
-   * Whether the task is to be stopped: cancelled, preempted or drained. Set by {@link JobRun#halt}.
+   * Whether the task is to be stopped: cancelled, preempted or drained. Set by {@link
+   * JobRun#markForStop}.
    */
   boolean stopRequested;
 
--- /dev/null
+++ b/src/main/java/dunlincroft/coordination/PlacementLog.java
@@ -0,0 +1,500 @@
+package dunlincroft.coordination;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import dunlincroft.Constants;
+import dunlincroft.bookkeeping.Replica;
+import dunlincroft.bookkeeping.StateStore;
+import dunlincroft.bookkeeping.StateStore.Urgency;
+import dunlincroft.bookkeeping.Txn;
+import dunlincroft.protocol.Cbor;
+import dunlincroft.protocol.JobSpec;
+import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.Wire;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Writes the state of jobs ahead of what it allows: placements before their orders leave, ends
+ * before users are told. News of all jobs of a shard go to its log in one change; a page is written
+ * only when the log would otherwise grow too long. Every write is guarded by the shard's stamp, so
+ * that a node that lost the shard writes nothing more.
+ */
+final class PlacementLog {
+  private static final Logger LOG = LoggerFactory.getLogger(PlacementLog.class);
+
+  private final ClusterState clusterState;
+  private final StartConditions startConditions;
+  private final Set<JobRun> dirtyJobs = new LinkedHashSet<>();
+  private final Map<String, ShardLog> logs = new HashMap<>();
+  private Consumer<Collection<Machine>> recordedListener = machines -> {};
+
+  PlacementLog(ClusterState clusterState, StartConditions startConditions) {
+    this.clusterState = clusterState;
+    this.startConditions = startConditions;
+  }
+
+  /** Told which machines have orders after a write. */
+  void setRecordedListener(Consumer<Collection<Machine>> listener) {
+    recordedListener = listener;
+  }
+
+  void markDirty(JobRun job, int task, boolean isStart) {
+    job.markDirty(task, clusterState.now(), isStart);
+    dirtyJobs.add(job);
+  }
+
+  /**
+   * True for a job as we run it now. After a shard was lost and won back the job is rebuilt from
+   * its record; what we knew before, whose write was still out, must never be written again: it
+   * would undo what another holder recorded, and its tasks would run twice.
+   */
+  private boolean isCurrentRun(JobRun job) {
+    return clusterState.jobs.get(job.id) == job;
+  }
+
+  /** Makes what waits to be recorded of a job urgent: its room or zones are wanted. */
+  void expedite(JobRun job) {
+    job.record.urgent |= job.record.dirtySince >= 0;
+  }
+
+  /** The same for all jobs of a team: room that it takes of the limit is wanted. */
+  void expedite(String team) {
+    for (JobRun job : dirtyJobs) {
+      if (job.spec.owner().equals(team)) {
+        expedite(job);
+      }
+    }
+  }
+
+  /** Drops what is no longer ours to write. */
+  void discardUnowned() {
+    dirtyJobs.removeIf(job -> !isCurrentRun(job));
+    logs.values()
+        .removeIf(log -> clusterState.ownedShards.getLong(log.shard) != log.ownershipStamp);
+  }
+
+  private boolean isCurrentLog(ShardLog log) {
+    return logs.get(log.shard) == log
+        && clusterState.ownedShards.getLong(log.shard) == log.ownershipStamp;
+  }
+
+  /** Writes what is due: ends of jobs, placements, and completions that have waited long enough. */
+  void flush() {
+    long now = clusterState.now();
+    for (JobRun job : clusterState.jobs.values()) {
+      withdrawUnsent(job);
+      if (!job.finishing && (job.isComplete() || (job.cancelled && job.placed.isEmpty()))) {
+        recordEnd(job);
+      }
+    }
+    dirtyJobs.removeIf(job -> job.record.dirtySince < 0 || !isCurrentRun(job));
+    int backlog = 0;
+    for (String shard : List.copyOf(clusterState.ownedShards.keySet())) {
+      ShardLog log = logs.computeIfAbsent(shard, s -> new ShardLog(clusterState, s));
+      if (log.ownershipStamp != clusterState.ownedShards.getLong(shard)) {
+        log = new ShardLog(clusterState, shard);
+        logs.put(shard, log);
+      }
+      ShardLog dueLog = log;
+      List<JobRun> jobsToWrite = jobsWithChanges(shard);
+      if (log.writeInFlight) {
+        continue;
+      }
+      boolean hasWriteBudget = clusterState.store.availableWrites() > 0;
+      boolean startsDue =
+          jobsToWrite.stream()
+              .anyMatch(
+                  job ->
+                      job.record.urgent
+                          && (now >= dueAt(job, dueLog) || (hasWriteBudget && isProd(job))));
+      // One change starts many tasks: starts go on, at their pace, whatever else wants the budget.
+      if (startsDue || jobsToWrite.stream().anyMatch(job -> now >= dueAt(job, dueLog))) {
+        backlog++;
+        if (startsDue || hasWriteBudget) {
+          write(log, jobsToWrite, now);
+        }
+      } else if (hasWriteBudget) {
+        checkpointPages(log);
+      }
+    }
+    clusterState.store.setBacklog(backlog);
+  }
+
+  private static boolean isProd(JobRun job) {
+    return job.spec.rank() == JobSpec.Rank.PROD;
+  }
+
+  /** Jobs of a shard with news, those that start services first, then those that start others. */
+  private List<JobRun> jobsWithChanges(String shard) {
+    List<JobRun> jobsToWrite = new ArrayList<>();
+    for (JobRun job : dirtyJobs) {
+      if (job.shard.equals(shard) && !job.record.hasUpdateInFlight() && !job.finishing) {
+        jobsToWrite.add(job);
+      }
+    }
+    jobsToWrite.sort(
+        Comparator.comparing((JobRun job) -> !(job.record.urgent && isProd(job)))
+            .thenComparing(job -> !job.record.urgent)
+            .thenComparingLong(job -> job.record.dirtySince));
+    return jobsToWrite;
+  }
+
+  /** When a job's news should be written; they then take along those of all others. */
+  private static long dueAt(JobRun job, ShardLog log) {
+    return job.record.urgent
+        ? Math.max(job.record.dirtySince, log.lastWriteAt + Constants.LOG_PAUSE_MS)
+        : job.record.dirtySince + Constants.LAZY_WRITE_MS;
+  }
+
+  // ---- the log ----
+
+  /** The first entry that some page of the shard does not hold. */
+  private long oldestUncoveredEntry(String shard) {
+    long oldest = Long.MAX_VALUE;
+    for (JobRun job : clusterState.jobs.values()) {
+      if (job.shard.equals(shard)) {
+        oldest = Math.min(oldest, job.record.oldestUncoveredEntry());
+      }
+    }
+    return oldest;
+  }
+
+  private void write(ShardLog log, List<JobRun> jobs, long now) {
+    if (!log.hasCurrentSlot()) {
+      log.advanceSlot(oldestUncoveredEntry(log.shard));
+    }
+    int maxSlotBytes = clusterState.settings.logBytes();
+    int maxGuards = Constants.GUARDS_PER_OP * clusterState.settings.txnOps() - 2;
+    long entryNumber = log.nextEntryNumber();
+    List<JobUpdate> updates = new ArrayList<>();
+    List<ObjectNode> entries = new ArrayList<>();
+    Map<String, Long> conditionGuards = new HashMap<>();
+    List<String> cancelKeys = new ArrayList<>();
+    int usedBytes = log.currentSlotBytes();
+    for (JobRun job : jobs) {
+      JobUpdate update = job.record.nextUpdate(Integer.MAX_VALUE);
+      ObjectNode entry = update.toLogEntry(entryNumber);
+      int entryBytes = entry.toString().length() + 1;
+      if (usedBytes + entryBytes > maxSlotBytes) {
+        if (!entries.isEmpty()) {
+          break;
+        }
+        if (!log.isCurrentSlotEmpty()) {
+          log.advanceSlot(oldestUncoveredEntry(log.shard));
+          usedBytes = log.currentSlotBytes();
+        }
+        if (usedBytes + entryBytes > maxSlotBytes) {
+          update = job.record.nextUpdate(clusterState.settings.logTasks());
+          entry = update.toLogEntry(entryNumber);
+          entryBytes = entry.toString().length() + 1;
+        }
+      }
+      if (update.hasStarts()) {
+        if (!startConditions.guardsHold(job)) {
+          continue; // Its starts are taken back, now that their guards have changed.
+        }
+        if (cancelKeys.size() + conditionGuards.size() + job.startGuards.size() >= maxGuards) {
+          break;
+        }
+        conditionGuards.putAll(job.startGuards);
+        cancelKeys.add(Wire.key(Replica.CANCELS, job.id));
+      }
+      usedBytes += entryBytes;
+      updates.add(update);
+      entries.add(entry);
+    }
+    ObjectNode slot = log.currentSlotWith(entries);
+    Txn txn =
+        new Txn()
+            .guard(Wire.key(Replica.SHARDS, log.shard), log.ownershipStamp)
+            .guard(log.currentSlotKey(), log.currentSlotStamp())
+            .put(log.currentSlotKey(), slot);
+    if (updates.isEmpty()) {
+      return;
+    }
+    cancelKeys.forEach(key -> txn.guard(key, 0));
+    conditionGuards.forEach(txn::guard);
+    updates.forEach(jobUpdate -> jobUpdate.job().record.beginUpdate(jobUpdate));
+    log.writeInFlight = true;
+    log.lastWriteAt = now;
+    clusterState.store.commit(
+        cancelKeys.isEmpty() ? Urgency.LAZY : Urgency.START,
+        txn,
+        result -> {
+          switch (result.outcome()) {
+            case OK -> onWriteCommitted(log, entryNumber, slot, result.revision(), updates);
+            case REFUSED -> onWriteRejected(log, updates);
+            case CONFLICT -> {
+              onConflict(result.failedKeys());
+              reread(log, entryNumber, slot, updates);
+            }
+            default -> reread(log, entryNumber, slot, updates);
+          }
+        });
+  }
+
+  private void onWriteCommitted(
+      ShardLog log, long entryNumber, JsonNode slot, long stamp, List<JobUpdate> updates) {
+    if (!isCurrentLog(log)) {
+      return;
+    }
+    log.writeInFlight = false;
+    log.lastSettledEntry = entryNumber;
+    log.setCurrentSlot(slot, stamp);
+    Set<Machine> affectedMachines = new LinkedHashSet<>();
+    for (JobUpdate jobUpdate : updates) {
+      if (isCurrentRun(jobUpdate.job())) {
+        jobUpdate
+            .job()
+            .record
+            .commitUpdate(entryNumber)
+            .forEach(placement -> affectedMachines.add(placement.machine));
+      }
+    }
+    clusterState.placementDue = true;
+    recordedListener.accept(affectedMachines);
+  }
+
+  private void onWriteRejected(ShardLog log, List<JobUpdate> updates) {
+    if (!isCurrentLog(log)) {
+      return;
+    }
+    log.writeInFlight = false;
+    for (JobUpdate jobUpdate : updates) {
+      if (isCurrentRun(jobUpdate.job())) {
+        jobUpdate.job().record.abortUpdate(clusterState.now());
+        dirtyJobs.add(jobUpdate.job());
+      }
+    }
+  }
+
+  /**
+   * A write without an answer may be applied late: then the slot's stamp is not what we think, and
+   * the next write to it fails and comes here. Nothing else is written before the slot was read. A
+   * successor goes on counting where we did: an entry of our number may be its own.
+   */
+  private void reread(ShardLog log, long entryNumber, JsonNode written, List<JobUpdate> updates) {
+    clusterState.store.get(
+        log.currentSlotKey(),
+        answer -> {
+          if (!isCurrentLog(log)) {
+            return;
+          }
+          try {
+            if (answer.status() == 200 || answer.status() == 404) {
+              long stamp = StateStore.stamp(answer);
+              JsonNode slot = StateStore.data(answer);
+              log.setCurrentSlot(slot, stamp);
+              if (log.isRecorded(written)) {
+                onWriteCommitted(log, entryNumber, slot, stamp, updates);
+              } else {
+                onWriteRejected(log, updates);
+              }
+              return;
+            }
+          } catch (Malformed e) {
+            LOG.info("slot {}: {}", log.currentSlotKey(), e.getMessage());
+          }
+          clusterState.env.after(
+              Constants.REREAD_MS, () -> reread(log, entryNumber, written, updates));
+        });
+  }
+
+  // ---- pages ----
+
+  /**
+   * Writes pages of the jobs that keep the log's oldest slots, so that these can be filled anew.
+   */
+  private void checkpointPages(ShardLog log) {
+    long oldest = oldestUncoveredEntry(log.shard);
+    if (log.usedSlots(oldest) <= clusterState.settings.logSlots()) {
+      return;
+    }
+    List<JobPage> candidates = new ArrayList<>();
+    for (JobRun job : clusterState.jobs.values()) {
+      if (job.shard.equals(log.shard) && !job.finishing) {
+        job.record.knownPages().stream()
+            .filter(candidate -> candidate.firstUncoveredEntry > 0 && !candidate.outcomeUnknown)
+            .forEach(candidates::add);
+      }
+    }
+    candidates.sort(Comparator.comparingLong(page -> page.firstUncoveredEntry));
+    int maxPages = Math.min(clusterState.store.availableWrites(), clusterState.settings.txnOps());
+    Txn txn = new Txn().guard(Wire.key(Replica.SHARDS, log.shard), log.ownershipStamp);
+    List<JobPage> pages = new ArrayList<>();
+    int txnBytes = 0;
+    for (JobPage page : candidates) {
+      ObjectNode record = page.record(log.lastSettledEntry).toNode();
+      txnBytes += record.toString().length();
+      if (pages.size() >= maxPages || (!pages.isEmpty() && txnBytes > Constants.TXN_BYTES)) {
+        break;
+      }
+      String key = Wire.key(Replica.PAGES, page.name());
+      txn.guard(key, page.stamp).put(key, record);
+      pages.add(page);
+    }
+    if (pages.isEmpty()) {
+      return;
+    }
+    log.writeInFlight = true;
+    pages.forEach(page -> page.outcomeUnknown = true);
+    clusterState.store.commit(
+        Urgency.LAZY,
+        txn,
+        result -> {
+          if (isCurrentLog(log)) {
+            log.writeInFlight = false;
+          }
+          LOG.debug("{} pages of shard {} written: {}", pages.size(), log.shard, result.outcome());
+          for (JobPage page : pages) {
+            if (result.ok()) {
+              page.stamp = result.revision();
+              page.firstUncoveredEntry = 0;
+              page.outcomeUnknown = false;
+            } else {
+              reread(page);
+            }
+          }
+        });
+  }
+
+  private void onConflict(List<String> failedKeys) {
+    String cancelKeyPrefix = Wire.key(Replica.CANCELS, "");
+    for (String key : failedKeys) {
+      if (key.startsWith(cancelKeyPrefix)) {
+        JobRun job = clusterState.jobs.get(key.substring(cancelKeyPrefix.length()));
+        if (job != null) {
+          job.cancel();
+        }
+      }
+    }
+    LOG.info("write refused by its guards {}: reading what changed", failedKeys);
+    clusterState.feed.barrier(ok -> clusterState.placementDue = true);
+  }
+
+  /** Unwanted placements that no order ever left for are taken back without asking the worker. */
+  private void withdrawUnsent(JobRun job) {
+    if (!job.withdrawalPending) {
+      return;
+    }
+    job.withdrawalPending = false;
+    for (Placement placement : List.copyOf(job.placed.values())) {
+      if (placement.stopRequested && !placement.orderSent) {
+        if (job.record.hasUpdateInFlight()) {
+          job.withdrawalPending = true;
+        } else {
+          job.removePlacement(placement);
+          markDirty(job, placement.task, false);
+        }
+      }
+    }
+  }
+
+  /** A write without an answer may be applied late; its guard or ours then fails. Read, go on. */
+  private void reread(JobPage page) {
+    page.outcomeUnknown = true;
+    clusterState.store.get(
+        Wire.key(Replica.PAGES, page.name()),
+        answer -> {
+          if (!isCurrentRun(page.job())) {
+            return;
+          }
+          if (answer.status() != 200 && answer.status() != 404) {
+            clusterState.env.after(Constants.REREAD_MS, () -> reread(page));
+            return;
+          }
+          try {
+            page.stamp = StateStore.stamp(answer);
+            page.outcomeUnknown = false;
+          } catch (Malformed e) {
+            LOG.info("page {}: {}", page.name(), e.getMessage());
+            clusterState.env.after(Constants.REREAD_MS, () -> reread(page));
+          }
+        });
+  }
+
+  /** The final state takes the place of the job's description: one change for most jobs. */
+  private void recordEnd(JobRun job) {
+    List<JobPage> pages = job.record.knownPages();
+    if (job.record.hasUpdateInFlight() || pages.stream().anyMatch(page -> page.outcomeUnknown)) {
+      return;
+    }
+    boolean isCancelled = job.cancelled;
+    // What a large job has beyond one transaction is removed by sweep() afterwards.
+    List<JobPage> storedPages =
+        pages.stream()
+            .filter(page -> page.stamp > 0)
+            .limit(clusterState.settings.txnOps() - Constants.END_OPS)
+            .toList();
+    job.finishing = true;
+    ObjectNode endRecord =
+        Cbor.map()
+            .put(Replica.STATUS, isCancelled ? Wire.WITHDRAWN : Wire.DONE)
+            .put("done", job.doneTaskCount());
+    String jobKey = Wire.key(Replica.JOBS, job.id);
+    String cancelKey = Wire.key(Replica.CANCELS, job.id);
+    Txn txn =
+        new Txn()
+            .guard(Wire.key(Replica.SHARDS, job.shard), clusterState.ownedShards.getLong(job.shard))
+            .guard(jobKey, clusterState.replica.stamp(Replica.JOBS, job.id))
+            .guard(cancelKey, clusterState.replica.stamp(Replica.CANCELS, job.id))
+            .put(jobKey, endRecord);
+    if (isCancelled) {
+      txn.remove(cancelKey);
+    }
+    for (JobPage page : storedPages) {
+      String key = Wire.key(Replica.PAGES, page.name());
+      txn.guard(key, page.stamp).remove(key);
+    }
+    clusterState.store.commit(
+        Urgency.FINISH,
+        txn,
+        result -> {
+          if (result.ok()) {
+            LOG.info(
+                "job {} is {} after {} ms",
+                job.id,
+                isCancelled ? Wire.WITHDRAWN : Wire.DONE,
+                clusterState.env.wallMillis() - job.acceptedAt);
+            dirtyJobs.remove(job);
+            return;
+          }
+          LOG.info(
+              "end of job {} not written: {} {}", job.id, result.outcome(), result.failedKeys());
+          storedPages.forEach(this::reread);
+          clusterState.feed.barrier(
+              ok -> {
+                clusterState.onCancellation(job.id);
+                job.finishing = false;
+              });
+        });
+  }
+
+  /** Removes pages whose job is over, a few at a time. The leader does it. */
+  void removeOrphanedPages() {
+    Txn txn = new Txn();
+    for (String name : clusterState.replica.items(Replica.PAGES).keySet()) {
+      String id = name.substring(0, name.lastIndexOf('/'));
+      if (clusterState.replica.get(Replica.JOBS, id) == null
+          && clusterState.replica.get(Replica.ENDED, id) != null
+          && txn.size() < clusterState.settings.txnOps()) {
+        String key = Wire.key(Replica.PAGES, name);
+        txn.guard(key, clusterState.replica.stamp(Replica.PAGES, name)).remove(key);
+      }
+    }
+    if (txn.size() > 0) {
+      clusterState.store.commit(
+          Urgency.LAZY, txn, result -> LOG.debug("swept pages: {}", result.outcome()));
+    }
+  }
+}
--- a/src/main/java/dunlincroft/coordination/StandIn.java
+++ b/src/main/java/dunlincroft/coordination/ProxyOwner.java
@@ -26,66 +26,66 @@
  * service's revision: the stamp of the next change of hands is higher, and a holder that is back
  * writes its block anew.
  */
-final class StandIn {
-  private final ClusterState world;
-  private final Membership members;
+final class ProxyOwner {
+  private final ClusterState clusterState;
+  private final Membership membership;
 
   /** Jobs that others told us are cancelled, and when, until we have read the records since. */
-  private final Map<String, Long> cancelled = new HashMap<>();
+  private final Map<String, Long> cancelledJobs = new HashMap<>();
 
-  StandIn(ClusterState world, Membership members) {
-    this.world = world;
-    this.members = members;
+  ProxyOwner(ClusterState clusterState, Membership membership) {
+    this.clusterState = clusterState;
+    this.membership = membership;
   }
 
   /** Another controller handed a cancellation to us. */
-  void cancelled(String job) {
-    cancelled.values().removeIf(toldAt -> toldAt < world.feed.currentAsOf());
-    cancelled.put(job, world.now());
+  void onCancelled(String job) {
+    cancelledJobs.values().removeIf(receivedAt -> receivedAt < clusterState.feed.currentAsOf());
+    cancelledJobs.put(job, clusterState.now());
   }
 
   /** Whether a worker's report is ours to answer: nobody else can, and our knowledge is enough. */
-  boolean answersFor(WorkerReport report, BlockIndex.Block block) {
-    if (!outage()) {
+  boolean canAnswer(WorkerReport report, BlockIndex.Block block) {
+    if (!isCommonOutage()) {
       return false;
     }
     String shard = block.record().shard();
-    long recorded = Math.max(block.stamp(), world.replica.stamp(Replica.SHARDS, shard));
-    boolean nobodyElse = report.fence() > recorded || !members.isOwnerAlive(shard);
-    return nobodyElse && members.cancellationLagMs() <= world.maxCancellationLagMs();
+    long recordedFence = Math.max(block.stamp(), clusterState.replica.stamp(Replica.SHARDS, shard));
+    boolean hasNoOtherOwner = report.fence() > recordedFence || !membership.isOwnerAlive(shard);
+    return hasNoOtherOwner && membership.cancellationLagMs() <= clusterState.maxCancellationLagMs();
   }
 
   /**
    * Whether the holder is gone and, as far as we hear, nobody can follow it: sent there, a worker
    * would come back, and it had better try all others.
    */
-  boolean nobodyFollows(String shard) {
-    return outage() && !members.isOwnerAlive(shard);
+  boolean hasNoReachableOwner(String shard) {
+    return isCommonOutage() && !membership.isOwnerAlive(shard);
   }
 
   /**
    * Who alone is refused or cut off does not stand in: somebody else takes the shard over, and must
    * hear from its workers.
    */
-  private boolean outage() {
-    return world.feed.stalenessMs() > Constants.STALE_MS && members.isCommonOutage();
+  private boolean isCommonOutage() {
+    return clusterState.feed.stalenessMs() > Constants.STALE_MS && membership.isCommonOutage();
   }
 
   /** What a worker is told: to stop what is cancelled, and else to go on. */
   ObjectNode answer(WorkerReport report) {
     List<Order> orders =
         report.pieces().stream()
-            .filter(piece -> !piece.exited() && isCancelled(piece))
+            .filter(task -> !task.exited() && isCancelled(task))
             .limit(Constants.MAX_ORDERS)
-            .map(piece -> Order.kill(piece.id(), piece.attempt(), 0))
+            .map(task -> Order.kill(task.id(), task.attempt(), 0))
             .toList();
-    world.metrics.count(Figures.Event.STOOD_IN);
-    return Order.body(Math.max(report.fence(), members.highestCancellationRevision()), orders);
+    clusterState.metrics.count(Metrics.Event.STOOD_IN);
+    return Order.body(Math.max(report.fence(), membership.highestCancellationRevision()), orders);
   }
 
-  private boolean isCancelled(Piece piece) {
-    return cancelled.containsKey(piece.job())
-        || world.replica.get(Replica.CANCELS, piece.job()) != null
-        || world.replica.get(Replica.ENDED, piece.job()) != null;
+  private boolean isCancelled(Piece task) {
+    return cancelledJobs.containsKey(task.job())
+        || clusterState.replica.get(Replica.CANCELS, task.job()) != null
+        || clusterState.replica.get(Replica.ENDED, task.job()) != null;
   }
 }
--- a/src/main/java/dunlincroft/coordination/ReportHandler.java
+++ b/src/main/java/dunlincroft/coordination/ReportHandler.java
@@ -16,39 +16,40 @@
 final class ReportHandler {
   private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
 
-  private final ClusterState world;
-  private final Ledger ledger;
-  private final FaultAttribution faults;
+  private final ClusterState clusterState;
+  private final PlacementLog placementLog;
+  private final FaultAttribution faultAttribution;
 
-  ReportHandler(ClusterState world, Ledger ledger, FaultAttribution faults) {
-    this.world = world;
-    this.ledger = ledger;
-    this.faults = faults;
+  ReportHandler(
+      ClusterState clusterState, PlacementLog placementLog, FaultAttribution faultAttribution) {
+    this.clusterState = clusterState;
+    this.placementLog = placementLog;
+    this.faultAttribution = faultAttribution;
   }
 
   /** It has shown that it hears, by an answer that a report of its has overtaken. */
-  void answered(Machine machine) {
-    hears(machine);
+  void onOvertakenAnswer(Machine machine) {
+    onReachable(machine);
     machine.session.onAnswer();
   }
 
   /** What follows if a machine hears that did not before. */
-  private void hears(Machine machine) {
+  private void onReachable(Machine machine) {
     switch (machine.session.state()) {
       case UNREPORTED, REACHABLE -> {}
-      case UNCERTAIN -> world.placementDue = true;
+      case UNCERTAIN -> clusterState.placementDue = true;
       case UNREACHABLE -> {
-        world.placementDue = true;
+        clusterState.placementDue = true;
         LOG.info(
             "host {} hears us again, after {} ms",
             machine.host,
-            world.now() - machine.session.unreachableSinceMs());
+            clusterState.now() - machine.session.unreachableSinceMs());
       }
     }
   }
 
   /** Takes a report in that is newer than those seen before. */
-  void read(Machine machine, WorkerReport report) {
+  void handle(Machine machine, WorkerReport report) {
     if (!machine.session.hasReported()) {
       LOG.info(
           "host {} ({} {} {}) reports to us",
@@ -56,73 +57,75 @@
           machine.typeLabel,
           machine.zone,
           machine.preemptible ? "spot" : "ordinary");
-      world.placementDue = true;
+      clusterState.placementDue = true;
     }
-    hears(machine);
-    machine.session.onReport(report, world.now());
+    onReachable(machine);
+    machine.session.onReport(report, clusterState.now());
     machine.endpoint = report.endpoint();
     if (report.warningS() != WorkerReport.NO_WARNING && machine.drainReason == null) {
-      warned(machine, report.warningS());
+      onReclaimNotice(machine, report.warningS());
     }
     machine.reportedTasks = report.pieces();
-    machine.placements.values().forEach(p -> p.inLastReport = false);
-    Room orphans = Room.NONE;
-    for (Piece piece : report.pieces()) {
-      Placement p = machine.placements.get(piece.id());
-      if (p != null && p.attempt == piece.attempt()) {
-        p.inLastReport = true;
-        show(machine, p, piece);
+    machine.placements.values().forEach(placement -> placement.inLastReport = false);
+    Room orphanedResources = Room.NONE;
+    for (Piece reportedTask : report.pieces()) {
+      Placement placement = machine.placements.get(reportedTask.id());
+      if (placement != null && placement.attempt == reportedTask.attempt()) {
+        placement.inLastReport = true;
+        updatePlacement(machine, placement, reportedTask);
       } else {
-        JobRun job = world.jobs.get(piece.job());
-        if (piece.exited() && Wire.DONE.equals(piece.cause()) && job != null) {
-          doneByOlderAttempt(job, piece.task());
-        } else if (!piece.exited() && job != null) {
-          orphans = orphans.plus(job.spec.room());
+        JobRun job = clusterState.jobs.get(reportedTask.job());
+        if (reportedTask.exited() && Wire.DONE.equals(reportedTask.cause()) && job != null) {
+          onDoneByOlderAttempt(job, reportedTask.task());
+        } else if (!reportedTask.exited() && job != null) {
+          orphanedResources = orphanedResources.plus(job.spec.room());
         }
       }
     }
-    machine.orphanedResources = orphans;
-    for (Placement p : List.copyOf(machine.placements.values())) {
-      if (!p.inLastReport) {
-        p.reportedStatus = null;
-        if (p.stopRequested && machine.session.isAbsenceProven()) {
-          clear(p, "not on the machine");
+    machine.orphanedResources = orphanedResources;
+    for (Placement placement : List.copyOf(machine.placements.values())) {
+      if (!placement.inLastReport) {
+        placement.reportedStatus = null;
+        if (placement.stopRequested && machine.session.isAbsenceProven()) {
+          removePlacement(placement, "not on the machine");
         }
       }
     }
     if (machine.hasNoTasks() && machine.idleSinceMs < 0) {
-      machine.idleSinceMs = world.now();
+      machine.idleSinceMs = clusterState.now();
     } else if (!machine.hasNoTasks()) {
       machine.idleSinceMs = -1;
     }
   }
 
-  private void warned(Machine machine, double warningS) {
+  private void onReclaimNotice(Machine machine, double warningS) {
     LOG.info("host {} will be taken in {} s: draining", machine.host, warningS);
     machine.drainReason = "notice";
-    world.placementDue = true;
-    for (Placement p : machine.placements.values()) {
-      double left = p.job.spec.expectS() - (world.now() - p.placedAtMs) / 1000.0;
+    clusterState.placementDue = true;
+    for (Placement placement : machine.placements.values()) {
+      double remainingS =
+          placement.job.spec.expectS() - (clusterState.now() - placement.placedAtMs) / 1000.0;
       // A notice may be half as long as it says; what will not end in that time moves at once.
-      if (left > warningS / 2) {
-        p.job.halt(p);
+      if (remainingS > warningS / 2) {
+        placement.job.markForStop(placement);
       }
     }
   }
 
   /** A report shows a recorded placement. */
-  private void show(Machine machine, Placement p, Piece piece) {
-    boolean started = p.reportedStatus == null || !p.reportedStatus.equals(Wire.RUNNING);
-    p.reportedStatus = piece.status();
-    p.orderSent = true;
-    if (!piece.exited()) {
-      if (started && piece.status().equals(Wire.RUNNING)) {
-        machine.markImageCached(p.job.spec.bundle());
-        p.runningSinceMs = world.now();
-        world.metrics.started(p, world.now());
-      } else if (piece.status().equals(Wire.RUNNING)
-          && world.now() - p.runningSinceMs > Constants.RAN_MS) {
-        faults.onRanWell(p);
+  private void updatePlacement(Machine machine, Placement placement, Piece reportedTask) {
+    boolean started =
+        placement.reportedStatus == null || !placement.reportedStatus.equals(Wire.RUNNING);
+    placement.reportedStatus = reportedTask.status();
+    placement.orderSent = true;
+    if (!reportedTask.exited()) {
+      if (started && reportedTask.status().equals(Wire.RUNNING)) {
+        machine.markImageCached(placement.job.spec.bundle());
+        placement.runningSinceMs = clusterState.now();
+        clusterState.metrics.recordStart(placement, clusterState.now());
+      } else if (reportedTask.status().equals(Wire.RUNNING)
+          && clusterState.now() - placement.runningSinceMs > Constants.RAN_MS) {
+        faultAttribution.onRanWell(placement);
       }
       return;
     }
@@ -131,20 +134,22 @@
       // has changed. Until the worker has seen our fence, its word is not the last one.
       return;
     }
-    String cause = piece.cause() == null ? "" : piece.cause();
-    if (cause.equals(Wire.DONE) && !p.job.spec.daemon()) {
-      machine.markImageCached(p.job.spec.bundle());
+    String cause = reportedTask.cause() == null ? "" : reportedTask.cause();
+    if (cause.equals(Wire.DONE) && !placement.job.spec.daemon()) {
+      machine.markImageCached(placement.job.spec.bundle());
       machine.consecutiveFailures = 0;
       machine.failedJobs.clear();
-      faults.onRanWell(p);
-      if (p.runningSinceMs > 0) {
-        world.conditions.onTaskFinished(p.job.spec, (world.now() - p.runningSinceMs) / 1000.0);
+      faultAttribution.onRanWell(placement);
+      if (placement.runningSinceMs > 0) {
+        clusterState.conditions.onTaskFinished(
+            placement.job.spec, (clusterState.now() - placement.runningSinceMs) / 1000.0);
       }
-      LOG.debug("{} try {} is done on host {}", p.taskName(), p.attempt, machine.host);
-      p.job.clear(p);
-      p.job.finish(p.task);
-      ledger.dirty(p.job, p.task, false);
-      world.placementDue = true;
+      LOG.debug(
+          "{} try {} is done on host {}", placement.taskName(), placement.attempt, machine.host);
+      placement.job.removePlacement(placement);
+      placement.job.markDone(placement.task);
+      placementLog.markDirty(placement.job, placement.task, false);
+      clusterState.placementDue = true;
     } else {
       if (machine.session.hasUnresolvedCommand()) {
         // An order without an answer may repeat this try, should the worker begin anew: the fence
@@ -152,31 +157,36 @@
         return;
       }
       if (cause.equals(Wire.FULL)) {
-        machine.avoidUntilMs = world.now() + Constants.DOUBT_MS;
+        machine.avoidUntilMs = clusterState.now() + Constants.DOUBT_MS;
       } else if (!cause.equals(Wire.STOPPED)) {
-        faults.onFailure(machine, p);
+        faultAttribution.onFailure(machine, placement);
       }
-      clear(p, cause);
+      removePlacement(placement, cause);
     }
   }
 
-  private void doneByOlderAttempt(JobRun job, int task) {
+  private void onDoneByOlderAttempt(JobRun job, int task) {
     if (job.done.get(task) || task >= job.spec.pieces() || job.spec.daemon()) {
       return;
     }
-    Placement other = job.placed.get(task);
-    if (other == null) {
+    Placement currentPlacement = job.placed.get(task);
+    if (currentPlacement == null) {
       LOG.debug("{} is done by an older try", Wire.piece(job.id, task));
-      job.finish(task);
-      ledger.dirty(job, task, false);
+      job.markDone(task);
+      placementLog.markDirty(job, task, false);
     }
   }
 
   /** The task is proven to be off the machine; it waits again unless its job is cancelled. */
-  void clear(Placement p, String why) {
-    LOG.debug("{} try {} left host {}: {}", p.taskName(), p.attempt, p.machine.host, why);
-    p.job.clear(p);
-    ledger.dirty(p.job, p.task, false);
-    world.placementDue = true;
+  void removePlacement(Placement placement, String reason) {
+    LOG.debug(
+        "{} try {} left host {}: {}",
+        placement.taskName(),
+        placement.attempt,
+        placement.machine.host,
+        reason);
+    placement.job.removePlacement(placement);
+    placementLog.markDirty(placement.job, placement.task, false);
+    clusterState.placementDue = true;
   }
 }
--- a/src/main/java/dunlincroft/coordination/Scheduler.java
+++ b/src/main/java/dunlincroft/coordination/Scheduler.java
@@ -35,7 +35,7 @@
 
   private final Reservations reservations = new Reservations();
   private final ClusterState cluster;
-  private final Ledger placementLog;
+  private final PlacementLog placementLog;
   private final StartConditions startConditions;
 
   /** An overdue job first starts at most one in this many of its tasks. */
@@ -55,7 +55,7 @@
 
   private long nextGuaranteeRefreshMs;
 
-  Scheduler(ClusterState cluster, Ledger placementLog, StartConditions startConditions) {
+  Scheduler(ClusterState cluster, PlacementLog placementLog, StartConditions startConditions) {
     this.cluster = cluster;
     this.placementLog = placementLog;
     this.startConditions = startConditions;
@@ -74,10 +74,10 @@
     Set<String> expeditedTeams = new HashSet<>();
     List<JobRun> waiting = new ArrayList<>();
     for (JobRun job : cluster.jobs.values()) {
-      if (job.booked() > 0) {
-        usageByLimit.merge(job.limitKey, job.spec.room().times(job.booked()), Room::plus);
+      if (job.chargedTaskCount() > 0) {
+        usageByLimit.merge(job.limitKey, job.spec.room().times(job.chargedTaskCount()), Room::plus);
       }
-      if (job.cancelled || job.finishing || job.waiting() == 0) {
+      if (job.cancelled || job.finishing || job.waitingTaskCount() == 0) {
         job.waitingSince = -1;
       } else if (now >= job.retryAtMs && (!servicesOnly || job.spec.rank() == Rank.PROD)) {
         if (startConditions.mayStart(job)) {
@@ -103,28 +103,28 @@
                   cluster
                       .usableShare(job.spec.owner(), job.shard)
                       .minus(usageByLimit.getOrDefault(key, Room.NONE)));
-      int maxStarts = job.spec.room().countIn(remaining, job.waiting());
+      int maxStarts = job.spec.room().countIn(remaining, job.waitingTaskCount());
       if (job.faulty) {
         maxStarts = Math.max(0, Math.min(maxStarts, 1 - job.placed.size()));
       }
-      if (maxStarts < job.waiting() && expeditedTeams.add(job.spec.owner())) {
-        placementLog.hasten(job.spec.owner());
+      if (maxStarts < job.waitingTaskCount() && expeditedTeams.add(job.spec.owner())) {
+        placementLog.expedite(job.spec.owner());
       }
-      if (job.overdueSince < Long.MAX_VALUE && !job.begun()) {
+      if (job.overdueAcceptedAt < Long.MAX_VALUE && !job.hasStarted()) {
         // An overdue job only needs to start: if a large one placed all its tasks now, it would
         // delay the jobs after it.
         maxStarts =
             Math.min(
                 maxStarts, (job.spec.pieces() + OVERDUE_START_DIVISOR - 1) / OVERDUE_START_DIVISOR);
       }
-      if (job.unsettled()) {
-        placementLog.hasten(job);
+      if (job.mustAwaitLog()) {
+        placementLog.expedite(job);
         maxStarts = 0;
       }
       int placed =
           maxStarts == 0
               ? 0
-              : job.sides == null
+              : job.migrationSides == null
                   ? placeJob(job, maxStarts, now)
                   : placeByMigrationSide(job, maxStarts);
       if (placed > 0) {
@@ -204,8 +204,8 @@
 
   private static final Comparator<JobRun> ORDER =
       Comparator.comparing((JobRun job) -> job.spec.rank() != Rank.PROD)
-          .thenComparingLong(job -> job.overdueSince)
-          .thenComparing(job -> !job.within)
+          .thenComparingLong(job -> job.overdueAcceptedAt)
+          .thenComparing(job -> !job.isGuaranteed)
           .thenComparingDouble(job -> job.slack)
           .thenComparing(job -> job.spec.rank())
           .thenComparingLong(job -> job.acceptedAt)
@@ -215,8 +215,8 @@
     long wallMs = cluster.env.wallMillis();
     for (JobRun job : waiting) {
       job.slack = slack(job, wallMs);
-      job.within = guaranteedIds.contains(job.id);
-      job.overdueSince = isOverdue(job, wallMs) ? job.acceptedAt : Long.MAX_VALUE;
+      job.isGuaranteed = guaranteedIds.contains(job.id);
+      job.overdueAcceptedAt = isOverdue(job, wallMs) ? job.acceptedAt : Long.MAX_VALUE;
     }
     waiting.sort(ORDER);
   }
@@ -230,7 +230,7 @@
   private static boolean isOverdue(JobRun job, long wallMs) {
     long ageMs = wallMs - job.acceptedAt;
     return !job.faulty
-        && ageMs > (job.begun() ? Constants.OVERDUE_MS : Constants.OVERDUE_TO_BEGIN_MS);
+        && ageMs > (job.hasStarted() ? Constants.OVERDUE_MS : Constants.OVERDUE_TO_BEGIN_MS);
   }
 
   /**
@@ -241,8 +241,8 @@
   private double slack(JobRun job, long wallMs) {
     double ageS = (wallMs - job.acceptedAt) / 1000.0;
     double slackS = job.spec.dueS() - job.spec.expectS() - ageS;
-    if (job.endsByMs < Long.MAX_VALUE) {
-      slackS = Math.min(slackS, (job.endsByMs - wallMs) / 1000.0 - job.spec.expectS());
+    if (job.deadlineMs < Long.MAX_VALUE) {
+      slackS = Math.min(slackS, (job.deadlineMs - wallMs) / 1000.0 - job.spec.expectS());
     }
     if (slackS < -job.spec.expectS() / 2) {
       slackS = JobSpec.NO_DUE;
@@ -269,7 +269,7 @@
     return cluster.isUsable(machine, roundStartMs)
         && machine.shard.equals(job.shard)
         && cluster.allows(job, machine)
-        && job.seeks(machine)
+        && job.matchesSideFilter(machine)
         && !machine.failedJobs.contains(job.id);
   }
 
@@ -313,11 +313,11 @@
   private int placeByMigrationSide(JobRun job, int maxTasks) {
     int placed = 0;
     for (int side : new int[] {MigrationSides.OLD, MigrationSides.NEW}) {
-      int waiting = Math.min(maxTasks - placed, job.seek(side));
+      int waiting = Math.min(maxTasks - placed, job.filterBySide(side));
       // Unplaceable requests are remembered for both sides together, never for one side alone.
       placed += waiting == 0 ? 0 : placeJob(job, waiting, roundStartMs);
     }
-    job.seek(-1);
+    job.filterBySide(-1);
     return placed;
   }
 
@@ -326,10 +326,10 @@
     if (!anyMachineAvailable) {
       return 0;
     }
-    if (job.wish == null) {
-      job.wish = PlacementRequest.of(job, cluster.allowsSpot(job));
+    if (job.placementRequest == null) {
+      job.placementRequest = PlacementRequest.of(job, cluster.allowsSpot(job));
     }
-    PlacementRequest request = job.wish;
+    PlacementRequest request = job.placementRequest;
     for (PlacementRequest other : unplaceable) {
       if (other.covers(request)) {
         return 0;
@@ -337,7 +337,7 @@
     }
     List<Machine> ordered = candidates(job);
     if (ordered.isEmpty()) {
-      if (!job.everFailed && job.sides == null) {
+      if (!job.everFailed && job.migrationSides == null) {
         unplaceable.add(request); // A job that failed may use fewer machines than similar ones.
       }
       return 0;
@@ -446,7 +446,7 @@
                   (long) (perTask.gpu() * bufferFraction),
                   (long) (perTask.ram() * bufferFraction)));
     }
-    int zoneLimit = job.spec.zoneMost() - job.perZone.getInt(machine.zone);
+    int zoneLimit = job.spec.zoneMost() - job.tasksPerZone.getInt(machine.zone);
     int fitting = job.spec.room().countIn(free, Math.min(maxTasks, zoneLimit));
     if (fitting <= 0) {
       return 0;
@@ -454,11 +454,11 @@
     long attempt = cluster.nextAttempt(job.shard);
     int task = 0;
     for (int i = 0; i < fitting; i++) {
-      task = job.nextWaiting(task);
+      task = job.nextWaitingTask(task);
       Placement placement = new Placement(job, task, machine, attempt, now);
       job.place(placement);
       machine.idleSinceMs = -1;
-      placementLog.dirty(job, task, true);
+      placementLog.markDirty(job, task, true);
       LOG.debug("{} try {} placed on host {}", placement.taskName(), attempt, machine.host);
     }
     return fitting;
@@ -474,7 +474,7 @@
             .flatMap(List::stream)
             .map(machine -> machine.zone)
             .distinct()
-            .sorted(Comparator.comparingInt(job.perZone::getInt))
+            .sorted(Comparator.comparingInt(job.tasksPerZone::getInt))
             .toList();
     for (List<Machine> machineGroup : groups) {
       for (String zone : zones) {
@@ -522,17 +522,18 @@
     long minWaitMs =
         job.spec.rank() == Rank.PROD ? Constants.PREEMPT_AFTER_MS : Constants.GUARANTEE_AFTER_MS;
     if (now - job.waitingSince < minWaitMs
-        || now < job.nextPreempt
+        || now < job.nextPreemptionAt
         || (job.spec.rank() != Rank.PROD && !guaranteed)) {
       return;
     }
-    job.nextPreempt = now + (job.spec.rank() == Rank.PROD ? minWaitMs : Constants.PREEMPT_PAUSE_MS);
+    job.nextPreemptionAt =
+        now + (job.spec.rank() == Rank.PROD ? minWaitMs : Constants.PREEMPT_PAUSE_MS);
     reservations.release(job);
     if (job.spec.spread() && job.spec.pieces() > 1) {
       // Capacity in a zone that already has its maximum of the job's tasks is of no use to the job.
       int remaining = tasksNeeded;
       for (String zone : zonesByTaskCount(job)) {
-        int maxTasks = Math.min(remaining, job.spec.zoneMost() - job.perZone.getInt(zone));
+        int maxTasks = Math.min(remaining, job.spec.zoneMost() - job.tasksPerZone.getInt(zone));
         remaining -=
             maxTasks <= 0
                 ? 0
@@ -548,7 +549,7 @@
     return cluster.machineTypes.values().stream()
         .flatMap(type -> type.halls().stream())
         .distinct()
-        .sorted(Comparator.comparingInt(job.perZone::getInt))
+        .sorted(Comparator.comparingInt(job.tasksPerZone::getInt))
         .toList();
   }
 
@@ -588,8 +589,8 @@
             p.machine.host,
             job.id,
             guaranteed ? "guarantee" : "rank");
-        p.job.halt(p);
-        cluster.metrics.count(Figures.Event.PREEMPTION);
+        p.job.markForStop(p);
+        cluster.metrics.count(Metrics.Event.PREEMPTION);
         machinesWithStops.add(p.machine);
       }
       reservations.reserve(job, eviction.victims.get(0).machine, 1);
--- a/src/main/java/dunlincroft/coordination/ShardLog.java
+++ b/src/main/java/dunlincroft/coordination/ShardLog.java
@@ -22,7 +22,7 @@
     private long stamp;
 
     /** The number of its last entry. */
-    private long last;
+    private long lastEntry;
 
     private ArrayNode entries = Cbor.map().putArray("log");
 
@@ -30,10 +30,10 @@
       this.index = index;
     }
 
-    private void take(JsonNode data, long newStamp) {
+    private void load(JsonNode data, long newStamp) {
       stamp = newStamp;
       entries = data == null ? Cbor.map().putArray("log") : (ArrayNode) data.path("log").deepCopy();
-      last = entries.isEmpty() ? 0 : entries.get(entries.size() - 1).path("n").asLong();
+      lastEntry = entries.isEmpty() ? 0 : entries.get(entries.size() - 1).path("n").asLong();
     }
 
     private int bytes() {
@@ -44,26 +44,26 @@
   final String shard;
 
   /** The stamp under which we hold the shard, and with it this log. */
-  final long heldSince;
+  final long ownershipStamp;
 
   /** A write is out, or its outcome is not known yet. */
-  boolean busy;
+  boolean writeInFlight;
 
   long lastWriteAt;
 
   /** All entries up to this number are known to be recorded, or never to be. */
-  long settled;
+  long lastSettledEntry;
 
   private final TreeMap<Integer, Slot> slots = new TreeMap<>();
-  private Slot current;
-  private long number;
+  private Slot currentSlot;
+  private long lastEntryNumber;
 
-  ShardLog(ClusterState world, String shard) {
+  ShardLog(ClusterState clusterState, String shard) {
     this.shard = shard;
-    this.heldSince = world.ownedShards.getLong(shard);
-    this.number = world.jobIndex.lastEntryNumber(shard);
-    this.settled = number;
-    world
+    this.ownershipStamp = clusterState.ownedShards.getLong(shard);
+    this.lastEntryNumber = clusterState.jobIndex.lastEntryNumber(shard);
+    this.lastSettledEntry = lastEntryNumber;
+    clusterState
         .replica
         .items(Replica.LOGS)
         .forEach(
@@ -71,76 +71,76 @@
               int slash = name.lastIndexOf('/');
               if (name.substring(0, slash).equals(shard)) {
                 Slot slot = new Slot(Integer.parseInt(name.substring(slash + 1)));
-                slot.take(item.data(), item.stamp());
+                slot.load(item.data(), item.stamp());
                 slots.put(slot.index, slot);
               }
             });
   }
 
   /** A number that no entry of this holding had yet. */
-  long nextNumber() {
-    number++;
-    return number;
+  long nextEntryNumber() {
+    lastEntryNumber++;
+    return lastEntryNumber;
   }
 
   /** Slots that say something which no page holds, when pages miss entries from here on. */
-  int used(long oldestMissing) {
-    return (int) slots.values().stream().filter(slot -> slot.last >= oldestMissing).count();
+  int usedSlots(long oldestUncovered) {
+    return (int) slots.values().stream().filter(slot -> slot.lastEntry >= oldestUncovered).count();
   }
 
   /** Goes on to a slot that says nothing any more, or to a new one. */
-  void nextSlot(long oldestMissing) {
-    Slot free = null;
+  void advanceSlot(long oldestUncovered) {
+    Slot reusable = null;
     for (Slot slot : slots.values()) {
-      if (slot != current && slot.last < oldestMissing && free == null) {
-        free = slot;
+      if (slot != currentSlot && slot.lastEntry < oldestUncovered && reusable == null) {
+        reusable = slot;
       }
     }
-    if (free == null) {
-      free = new Slot(slots.isEmpty() ? 0 : slots.lastKey() + 1);
-      slots.put(free.index, free);
+    if (reusable == null) {
+      reusable = new Slot(slots.isEmpty() ? 0 : slots.lastKey() + 1);
+      slots.put(reusable.index, reusable);
     }
-    current = free;
-    current.entries = Cbor.map().putArray("log");
+    currentSlot = reusable;
+    currentSlot.entries = Cbor.map().putArray("log");
   }
 
-  boolean started() {
-    return current != null;
+  boolean hasCurrentSlot() {
+    return currentSlot != null;
   }
 
   /** Characters in the present slot, and whether any entry is there. */
-  int bytes() {
-    return current.bytes();
+  int currentSlotBytes() {
+    return currentSlot.bytes();
   }
 
-  boolean fresh() {
-    return current.entries.isEmpty();
+  boolean isCurrentSlotEmpty() {
+    return currentSlot.entries.isEmpty();
   }
 
-  String key() {
-    return Wire.key(Replica.LOGS, JobIndex.slotName(shard, current.index));
+  String currentSlotKey() {
+    return Wire.key(Replica.LOGS, JobIndex.slotName(shard, currentSlot.index));
   }
 
-  long stamp() {
-    return current.stamp;
+  long currentSlotStamp() {
+    return currentSlot.stamp;
   }
 
   /** The present slot with more entries; what is recorded must not change under its readers. */
-  ObjectNode with(Iterable<ObjectNode> more) {
-    ObjectNode map = Cbor.map();
-    ArrayNode list = map.putArray("log").addAll(current.entries);
-    more.forEach(list::add);
-    return map;
+  ObjectNode currentSlotWith(Iterable<ObjectNode> newEntries) {
+    ObjectNode updated = Cbor.map();
+    ArrayNode list = updated.putArray("log").addAll(currentSlot.entries);
+    newEntries.forEach(list::add);
+    return updated;
   }
 
   /** The present slot is known to be recorded like this; null: not at all. */
-  void recorded(JsonNode data, long stamp) {
-    current.take(data, stamp);
+  void setCurrentSlot(JsonNode data, long stamp) {
+    currentSlot.load(data, stamp);
   }
 
   /** Whether the present slot is recorded just as it was written, and not by somebody else. */
   boolean isRecorded(JsonNode written) throws Malformed {
-    LogRecord there = LogRecord.parse(Cbor.map().set("log", current.entries));
-    return there.equals(LogRecord.parse(written));
+    LogRecord recordedSlot = LogRecord.parse(Cbor.map().set("log", currentSlot.entries));
+    return recordedSlot.equals(LogRecord.parse(written));
   }
 }
--- a/src/main/java/dunlincroft/coordination/StartConditions.java
+++ b/src/main/java/dunlincroft/coordination/StartConditions.java
@@ -28,13 +28,13 @@
       return true;
     }
     Decision decision = cluster.conditions.decide(job.spec);
-    if (!decision.guards().equals(job.guards)) {
-      job.haltUnrecorded();
-      job.guards = decision.guards();
+    if (!decision.guards().equals(job.startGuards)) {
+      job.markUnrecordedForStop();
+      job.startGuards = decision.guards();
     }
-    job.endsByMs = decision.deadlineMs();
-    job.strict = decision.noLateStart();
-    job.sides = decision.sides();
+    job.deadlineMs = decision.deadlineMs();
+    job.noLateStart = decision.noLateStart();
+    job.migrationSides = decision.sides();
     return decision.startAllowed();
   }
 
@@ -43,7 +43,7 @@
    * shows.
    */
   boolean guardsHold(JobRun job) {
-    for (Map.Entry<String, Long> guard : job.guards.entrySet()) {
+    for (Map.Entry<String, Long> guard : job.startGuards.entrySet()) {
       if (cluster.replica.stampOf(guard.getKey()) != guard.getValue()) {
         return false;
       }
@@ -59,13 +59,13 @@
    */
   private int moveOneReplica(JobRun job, Set<Machine> machinesWithStops) {
     Placement candidate = null;
-    boolean allRunning = job.waiting() == 0;
+    boolean allRunning = job.waitingTaskCount() == 0;
     for (Placement p : job.placed.values()) {
       boolean running = Wire.RUNNING.equals(p.reportedStatus) && !p.stopRequested;
       allRunning &= running;
-      if (!p.stopRequested && !job.onItsSide(p)) {
+      if (!p.stopRequested && !job.isOnAssignedSide(p)) {
         if (!running) {
-          job.halt(p);
+          job.markForStop(p);
           machinesWithStops.add(p.machine);
           return 1;
         }
@@ -78,27 +78,27 @@
         || !hasCapacityToMove(job, candidate)) {
       return 0;
     }
-    job.halt(candidate);
+    job.markForStop(candidate);
     machinesWithStops.add(candidate.machine);
     return 1;
   }
 
   /** Whether a machine of a replica's migration side has free capacity for it. */
   private boolean hasCapacityToMove(JobRun job, Placement p) {
-    job.seek(job.sides.sideOf(p.task));
+    job.filterBySide(job.migrationSides.sideOf(p.task));
     boolean found = false;
     for (Machine machine : cluster.machines.values()) {
       boolean zoneAllowed =
           machine.zone.equals(p.machine.zone)
-              || job.perZone.getInt(machine.zone) < job.spec.zoneMost();
+              || job.tasksPerZone.getInt(machine.zone) < job.spec.zoneMost();
       found |=
           zoneAllowed
               && cluster.isUsable(machine)
               && cluster.allows(job, machine)
-              && job.seeks(machine)
+              && job.matchesSideFilter(machine)
               && job.spec.room().fits(machine.free());
     }
-    job.seek(-1);
+    job.filterBySide(-1);
     return found;
   }
 
@@ -114,11 +114,11 @@
     }
     int movesLeft = Constants.MOVES_AT_ONCE;
     for (JobRun job : cluster.jobs.values()) {
-      if (!job.placed.isEmpty() && mayStart(job) && job.sides != null && movesLeft > 0) {
+      if (!job.placed.isEmpty() && mayStart(job) && job.migrationSides != null && movesLeft > 0) {
         movesLeft -= moveOneReplica(job, machinesWithStops);
       }
       CutOffAction end = job.placed.isEmpty() ? null : cluster.conditions.cutOffAction(job.spec);
-      job.endedBy(end);
+      job.applyConditionEnd(end);
       if (end == null || job.cancelled) {
         continue;
       }
@@ -126,7 +126,7 @@
         boolean started =
             Wire.RUNNING.equals(p.reportedStatus) || Wire.SAVING.equals(p.reportedStatus);
         if (!p.stopRequested && (!started || end != CutOffAction.FINISH)) {
-          job.halt(p);
+          job.markForStop(p);
           machinesWithStops.add(p.machine);
         }
       }
--- a/src/main/java/dunlincroft/coordination/WorkerOrders.java
+++ b/src/main/java/dunlincroft/coordination/WorkerOrders.java
@@ -84,7 +84,7 @@
             deferStarts(machine);
             continue;
           }
-          if (placement.job.strict
+          if (placement.job.noLateStart
               && (isDirect || cluster.conditions.cutOffAction(placement.job.spec) != null)) {
             continue;
           }
@@ -126,6 +126,6 @@
     if (job == null) {
       return cluster.jobIndex.get(reported.job()) != null;
     }
-    return reported.task() >= job.spec.pieces() || !job.record.clean(reported.task());
+    return reported.task() >= job.spec.pieces() || !job.record.isClean(reported.task());
   }
 }
--- a/src/main/java/dunlincroft/coordination/WorkerProtocol.java
+++ b/src/main/java/dunlincroft/coordination/WorkerProtocol.java
@@ -8,7 +8,7 @@
   final HeartbeatHandler heartbeats;
   final FenceRaiser fences;
 
-  WorkerProtocol(ClusterState cluster, Ledger placementLog) {
+  WorkerProtocol(ClusterState cluster, PlacementLog placementLog) {
     fences = new FenceRaiser(cluster);
     WorkerOrders orders = new WorkerOrders(cluster, fences);
     reports = new ReportHandler(cluster, placementLog, new FaultAttribution(cluster, placementLog));
--- a/src/main/java/dunlincroft/front/HttpFront.java
+++ b/src/main/java/dunlincroft/front/HttpFront.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dunlincroft.Constants;
 import dunlincroft.coordination.Controller;
-import dunlincroft.coordination.JobDesk;
+import dunlincroft.coordination.JobService;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.Malformed;
@@ -19,7 +19,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(HttpFront.class);
 
   private final Controller controller;
-  private final JobDesk jobs;
+  private final JobService jobs;
 
   public HttpFront(Controller controller) {
     this.controller = controller;
@@ -104,12 +104,12 @@
     }
   }
 
-  private void answer(JobDesk.Outcome outcome, Responder out) {
-    switch (outcome.verdict()) {
+  private void answer(JobService.Response outcome, Responder out) {
+    switch (outcome.code()) {
       case CREATED, OK -> {
         ObjectNode map = Cbor.map().put("ref", outcome.ref()).put("status", outcome.status());
         map.put("done", outcome.done()).put("running", outcome.running());
-        out.send(outcome.verdict() == JobDesk.Verdict.CREATED ? 201 : 200, Cbor.bytes(map), 0);
+        out.send(outcome.code() == JobService.ResultCode.CREATED ? 201 : 200, Cbor.bytes(map), 0);
       }
       case NOT_FOUND -> error(out, 404, "no such job");
       case IMPOSSIBLE -> error(out, 422, "can never run");
--- a/src/test/java/dunlincroft/coordination/JobRunTest.java
+++ b/src/test/java/dunlincroft/coordination/JobRunTest.java
@@ -42,37 +42,37 @@
   private Placement place(int task) {
     Placement placement = new Placement(job, task, machine, 1, 0);
     job.place(placement);
-    job.dirty(task, 5, true);
+    job.markDirty(task, 5, true);
     return placement;
   }
 
   @Test
-  void tasksSaveUnlessTheirTimeIsOver() {
+  void tasksMaySaveUnlessTheConditionStopsThem() {
     Placement placement = place(0);
     assertThat(placement.stopGraceS()).isEqualTo(FLUSH_S);
-    job.endedBy(CutOffAction.STOP);
+    job.applyConditionEnd(CutOffAction.STOP);
     assertThat(job.stopMode()).isEqualTo(JobRun.StopMode.WITHOUT_SAVING);
     assertThat(placement.stopGraceS()).isZero();
-    job.endedBy(CutOffAction.SAVE);
+    job.applyConditionEnd(CutOffAction.SAVE);
     assertThat(placement.stopGraceS()).isEqualTo(FLUSH_S);
-    job.endedBy(CutOffAction.STOP);
-    job.endedBy(null);
+    job.applyConditionEnd(CutOffAction.STOP);
+    job.applyConditionEnd(null);
     assertThat(placement.stopGraceS()).isEqualTo(FLUSH_S);
   }
 
   @Test
-  void aCancelledJobStaysSoWhateverItsConditionSays() {
+  void aCancelledJobStaysCancelledWhateverItsConditionSays() {
     Placement placement = place(0);
     job.cancel();
-    job.endedBy(null);
-    job.endedBy(CutOffAction.SAVE);
+    job.applyConditionEnd(null);
+    job.applyConditionEnd(CutOffAction.SAVE);
     assertThat(job.cancelled).isTrue();
     assertThat(placement.stopRequested).isTrue();
     assertThat(placement.stopGraceS()).isZero();
   }
 
   @Test
-  void aCancellationHeardOfStopsTasksBeforeTheRecordIsRead() {
+  void aReportedCancellationStopsTasksBeforeItsRecordIsRead() {
     Placement placement = place(0);
     job.abandon();
     assertThat(job.stopMode()).isEqualTo(JobRun.StopMode.ABANDON);
@@ -84,40 +84,40 @@
   void aPlacementMayStartOnceItIsRecorded() {
     Placement placement = place(1);
     JobUpdate update = job.record.nextUpdate(Integer.MAX_VALUE);
-    assertThat(update.starts()).isTrue();
-    job.record.send(update);
-    assertThat(job.record.updateInFlight()).isTrue();
-    assertThat(job.record.clean(1)).isFalse();
-    assertThat(job.record.settle(9)).containsExactly(placement);
+    assertThat(update.hasStarts()).isTrue();
+    job.record.beginUpdate(update);
+    assertThat(job.record.hasUpdateInFlight()).isTrue();
+    assertThat(job.record.isClean(1)).isFalse();
+    assertThat(job.record.commitUpdate(9)).containsExactly(placement);
     assertThat(placement.recorded).isTrue();
-    assertThat(job.record.clean(1)).isTrue();
-    assertThat(job.record.oldestMissing()).isEqualTo(9);
+    assertThat(job.record.isClean(1)).isTrue();
+    assertThat(job.record.oldestUncoveredEntry()).isEqualTo(9);
     assertThat(job.record.knownPages()).hasSize(1);
   }
 
   @Test
-  void anUpdateThatWasNotRecordedIsMadeAgain() {
+  void anAbortedUpdateIsRetried() {
     place(1);
-    job.record.send(job.record.nextUpdate(Integer.MAX_VALUE));
-    job.record.unsent(50);
-    assertThat(job.record.updateInFlight()).isFalse();
+    job.record.beginUpdate(job.record.nextUpdate(Integer.MAX_VALUE));
+    job.record.abortUpdate(50);
+    assertThat(job.record.hasUpdateInFlight()).isFalse();
     assertThat(job.record.dirtySince).isEqualTo(50);
     assertThat(job.record.urgent).isTrue();
     assertThat(job.record.nextUpdate(Integer.MAX_VALUE).tasks.get(1)).isTrue();
   }
 
   @Test
-  void aTaskCountsAgainstTheLimitUntilItsRecordLetsGoOfIt() {
+  void aTaskIsChargedUntilNoRecordNamesAMachineForIt() {
     Placement placement = place(2);
-    job.record.send(job.record.nextUpdate(Integer.MAX_VALUE));
-    job.record.settle(1);
-    job.clear(placement);
-    job.dirty(2, 60, false);
-    assertThat(job.booked()).isEqualTo(1);
+    job.record.beginUpdate(job.record.nextUpdate(Integer.MAX_VALUE));
+    job.record.commitUpdate(1);
+    job.removePlacement(placement);
+    job.markDirty(2, 60, false);
+    assertThat(job.chargedTaskCount()).isEqualTo(1);
     assertThat(machine.recordedJobs).containsExactly(job);
-    job.record.send(job.record.nextUpdate(Integer.MAX_VALUE));
-    assertThat(job.record.settle(2)).isEqualTo(List.of());
-    assertThat(job.booked()).isZero();
+    job.record.beginUpdate(job.record.nextUpdate(Integer.MAX_VALUE));
+    assertThat(job.record.commitUpdate(2)).isEqualTo(List.of());
+    assertThat(job.chargedTaskCount()).isZero();
     assertThat(machine.recordedJobs).isEmpty();
   }
 }
--- a/src/test/java/dunlincroft/coordination/ShardLogTest.java
+++ b/src/test/java/dunlincroft/coordination/ShardLogTest.java
@@ -17,9 +17,9 @@
 /**
  * A write of the log gets no answer and its slot is read. A successor counts on where the former
  * owner did, so an entry of the same number may be the successor's. Found by reading {@code
- * Ledger.reread}: it took any entry of the number for its own, and a start that was never recorded
- * for a recorded one. It was not seen on any day; the worker's fence would mostly have refused the
- * order.
+ * PlacementLog.reread}: it took any entry of the number for its own, and a start that was never
+ * recorded for a recorded one. It was not seen on any day; the worker's fence would mostly have
+ * refused the order.
  */
 class ShardLogTest {
   private static ObjectNode entry(long number, String host) {
@@ -30,9 +30,10 @@
 
   private static ShardLog log() {
     Replica replica = new Replica();
-    ClusterState world = new ClusterState(null, null, null, null, replica, new JobIndex(replica));
-    ShardLog log = new ShardLog(world, "n0");
-    log.nextSlot(Long.MAX_VALUE);
+    ClusterState clusterState =
+        new ClusterState(null, null, null, null, replica, new JobIndex(replica));
+    ShardLog log = new ShardLog(clusterState, "n0");
+    log.advanceSlot(Long.MAX_VALUE);
     return log;
   }
 
@@ -41,26 +42,26 @@
   }
 
   @Test
-  void ourOwnWriteIsFoundRecorded() throws Malformed {
+  void anOwnWriteIsRecognizedAsRecorded() throws Malformed {
     ShardLog log = log();
-    ObjectNode written = log.with(List.of(entry(5, "host-a")));
-    log.recorded(read(written), 12);
+    ObjectNode written = log.currentSlotWith(List.of(entry(5, "host-a")));
+    log.setCurrentSlot(read(written), 12);
     assertThat(log.isRecorded(written)).isTrue();
   }
 
   @Test
-  void aSuccessorsEntryOfTheSameNumberIsNotOurs() throws Malformed {
+  void aSuccessorsEntryOfTheSameNumberIsNotTakenForAnOwnOne() throws Malformed {
     ShardLog log = log();
-    ObjectNode written = log.with(List.of(entry(5, "host-a")));
-    log.recorded(read(log.with(List.of(entry(5, "host-b")))), 12);
+    ObjectNode written = log.currentSlotWith(List.of(entry(5, "host-a")));
+    log.setCurrentSlot(read(log.currentSlotWith(List.of(entry(5, "host-b")))), 12);
     assertThat(log.isRecorded(written)).isFalse();
   }
 
   @Test
-  void aSlotThatWasNeverWrittenIsNotRecorded() throws Malformed {
+  void aMissingSlotIsNotRecorded() throws Malformed {
     ShardLog log = log();
-    ObjectNode written = log.with(List.of(entry(5, "host-a")));
-    log.recorded(null, 0);
+    ObjectNode written = log.currentSlotWith(List.of(entry(5, "host-a")));
+    log.setCurrentSlot(null, 0);
     assertThat(log.isRecorded(written)).isFalse();
   }
 }
