--- a/src/main/java/dunlincroft/coordination/AnswerHandler.java
+++ b/src/main/java/dunlincroft/coordination/AnswerHandler.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes in the reports by which workers answer questions and direct commands. */
+/** Processes the reports that workers return in reply to status queries and direct commands. */
 final class AnswerHandler {
   private static final Logger LOG = LoggerFactory.getLogger(AnswerHandler.class);
 
@@ -21,7 +21,10 @@
     this.fenceRaiser = fenceRaiser;
   }
 
-  /** The newest message of a worker at the moment at which it is asked something. */
+  /**
+   * Session number and counter of the newest report of a worker that is known when a request is
+   * sent to it.
+   */
   record LastReport(long sessionNumber, long counter) {
     static LastReport of(Machine machine) {
       return new LastReport(machine.session.sessionNumber(), machine.session.counter());
@@ -29,8 +32,8 @@
   }
 
   /**
-   * Takes in the report in an answer, unless another machine gave it or one that knows a newer
-   * fence. Returns whether it was taken in.
+   * Processes the report in a reply. A report of another machine, or of a worker that has already
+   * seen a fence above ours, is rejected. Returns whether the report was accepted.
    */
   boolean process(Machine machine, LastReport lastReport, Reply reply) {
     try {
@@ -44,7 +47,7 @@
       } else if (machine.session.isNewer(report)) {
         reportHandler.handle(machine, report);
       } else {
-        reportHandler.onOvertakenAnswer(machine); // A report overtook the answer.
+        reportHandler.onOvertakenAnswer(machine); // A newer report arrived before this reply.
       }
       return true;
     } catch (Malformed e) {
@@ -54,13 +57,15 @@
   }
 
   /**
-   * An answer to a question that is no newer than what was known when it was asked: the worker has
-   * restarted, under its old name. What it ran is gone, and is ordered again under the same tries.
-   * Orders to its former life may still be on their way and would find nothing that they repeat:
-   * the fence is raised, and until the worker has seen that nothing counts as absent.
+   * Handles a reply whose report is no newer than the last one known when the request was sent: the
+   * worker has restarted under its old host name. Its tasks are lost and are ordered again under
+   * the same attempt numbers. Orders sent to the previous process may still be in flight; the new
+   * process has no task by which to recognize them as duplicates and would execute them. Therefore
+   * the fence is raised, and no task counts as absent until the worker has seen the new fence.
    */
   private void handleRestart(Machine machine, WorkerReport report) {
-    LOG.info("host {} has restarted: its {} tasks too", machine.host, machine.placements.size());
+    LOG.info(
+        "host {} has restarted; its {} tasks are lost", machine.host, machine.placements.size());
     long fence = clusterState.fenceToken(machine);
     machine.session.onRestart(fence);
     reportHandler.handle(machine, report);
--- a/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers the heartbeats of workers. */
+/** Answers the heartbeats of workers whose machines this controller owns. */
 final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
@@ -28,20 +28,23 @@
     this.probe = probe;
   }
 
-  /** Answers a heartbeat of a machine whose shard we hold; null: another fence is ahead of ours. */
+  /**
+   * Answers the heartbeat of a machine whose shard this controller owns. Returns null if the worker
+   * has already seen a fence above ours.
+   */
   ObjectNode answer(Machine machine, WorkerReport report) {
     long fence = clusterState.fenceToken(machine);
     if (report.fence() > fence) {
       LOG.info(
-          "host {} has seen fence {} above ours of {}: another node acts for it",
+          "host {} has seen fence {} above our fence {}: another controller acts for it",
           machine.host,
           report.fence(),
           fence);
       return null;
     }
     if (!machine.session.isNewer(report)) {
-      // A copy that comes late, or a worker that has begun anew under its old name: it looks the
-      // same, and only an answer to a question tells.
+      // Either a delayed duplicate, or a worker that has restarted under its old host name. Both
+      // look the same; only the reply to a status query tells them apart.
       if (report.fence() < machine.session.fenceSeen()) {
         machine.endpoint = report.endpoint();
         probe.probe(machine);
@@ -49,8 +52,9 @@
       return Order.body(fence, List.of());
     }
     if (report.fence() < machine.session.firstFence()) {
-      // From before we acted for it, and so perhaps a copy: a machine that is long gone would seem
-      // to live. It is asked, and its next report knows our fence.
+      // The report was sent before this controller acquired the machine, and may be a delayed
+      // duplicate: if it were accepted, a machine that is long gone would appear to be alive. The
+      // worker is queried instead, and its next report carries our fence.
       machine.endpoint = report.endpoint();
       probe.probe(machine);
       return Order.body(fence, List.of());
@@ -59,8 +63,9 @@
         machine.session.hasMissedOurAnswer(
             report, clusterState.now(), clusterState.settings.leaseS() * 1000);
     long previouslyHeardMs = machine.session.lastHeardMs();
-    // The worker has taken or dropped the answer before: it has one report out at a time. An older
-    // report that comes late says nothing about the answer to a newer one.
+    // The worker has already processed or lost the previous answer, as it has only one report in
+    // flight at a time. An older report that arrives late says nothing about the answer to a newer
+    // one.
     boolean answerCarriedStarts = machine.session.onAnswerSettled();
     reportHandler.handle(machine, report);
     missedAnswer |=
@@ -76,7 +81,7 @@
     return Order.body(fence, orders);
   }
 
-  /** A start that left in an answer and is not in the report after it. */
+  /** Whether a start was sent in an answer and is missing from the report that followed. */
   private static boolean isUnconfirmedStart(Placement placement) {
     return placement.recorded
         && placement.orderSent
--- a/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
@@ -11,8 +11,9 @@
 import java.util.List;
 
 /**
- * Answers the heartbeats of all workers: those of our own machines with orders, others with the way
- * to the owner of their shard. Workers whose shard is between two owners wait for a while.
+ * Answers the heartbeats of all workers: with orders if this controller owns the machine's shard,
+ * otherwise with a redirect to its owner. While the ownership of the shard is changing, the
+ * heartbeat is held for a limited time.
  */
 final class HeartbeatRouter {
   private static final int MISDIRECTED = 421;
@@ -25,7 +26,7 @@
   private final MachineDiscovery discovery;
   private final ProxyOwner proxyOwner;
 
-  /** A report whose machine's shard is between two holders. */
+  /** A heartbeat that is held because the ownership of its machine's shard is changing. */
   private record PendingHeartbeat(WorkerReport report, Responder out, long receivedAt) {}
 
   private final List<PendingHeartbeat> pendingHeartbeats = new ArrayList<>();
@@ -44,7 +45,10 @@
     this.proxyOwner = proxyOwner;
   }
 
-  /** Answers a worker: orders from the holder of its machine's shard, or the way there. */
+  /**
+   * Answers a worker with orders if this controller owns its machine's shard, otherwise with a
+   * redirect to the owner.
+   */
   void answer(WorkerReport report, Responder out) {
     answer(report, out, clusterState.now());
   }
@@ -62,7 +66,8 @@
     String shard = block.record().shard();
     Machine machine = clusterState.machines.get(report.host());
     if (clusterState.owns(shard) && machine != null) {
-      // A cancellation that some user was told and we do not know of could outlast its time.
+      // A cancellation that was reported to a user may not be known here. Renewing the lease could
+      // let its tasks run beyond the time within which a cancelled job must end.
       if (membership.cancellationLagMs() > clusterState.maxCancellationLagMs()) {
         respondUnavailable(UnavailableCause.UNSURE_OF_CANCELS, out);
         return;
@@ -104,7 +109,8 @@
     }
     if (membership.isOwnerChanging(shard)
         && clusterState.now() - receivedAt < Constants.HELLO_WAIT_MS) {
-      // Sent to a node that is gone it would lose five seconds, and perhaps come here again.
+      // A redirect to a controller that is gone would cost the worker five seconds, and the worker
+      // might be sent back here.
       pendingHeartbeats.add(new PendingHeartbeat(report, out, receivedAt));
     } else {
       redirect(ownedByPeer ? owner : null, out);
@@ -116,6 +122,7 @@
     out.send(503, EMPTY_BODY, 0);
   }
 
+  /** Redirects a worker to a controller; if none is named, the worker tries all others. */
   private static void redirect(String ownerName, Responder out) {
     ObjectNode body = Cbor.map();
     if (ownerName != null) {
@@ -124,7 +131,9 @@
     out.send(MISDIRECTED, Cbor.bytes(body), 0);
   }
 
-  /** Looks again at workers that wait for their shard to change hands. */
+  /**
+   * Evaluates the held heartbeats again. Those whose shard is still changing owners remain held.
+   */
   void retryPending() {
     if (!pendingHeartbeats.isEmpty()) {
       List<PendingHeartbeat> retried = List.copyOf(pendingHeartbeats);
@@ -133,6 +142,7 @@
     }
   }
 
+  /** Answers a worker whose machine belongs to no block: the leader adopts such machines. */
   private void handleUnknownMachine(WorkerReport report, Responder out) {
     if (membership.isLeader()) {
       discovery.onReport(report);
--- a/src/main/java/dunlincroft/coordination/JobPage.java
+++ b/src/main/java/dunlincroft/coordination/JobPage.java
@@ -3,16 +3,21 @@
 import dunlincroft.bookkeeping.JobIndex;
 import dunlincroft.protocol.PageRecord;
 
-/** A run of a job's tasks that can be recorded by itself, so that the log may forget. */
+/**
+ * A contiguous range of a job's tasks whose state is stored under a key of its own. A written page
+ * is a checkpoint: the log entries that it includes are not needed any more.
+ */
 final class JobPage {
   private final JobRecord record;
   final int index;
+
+  /** Revision at which the stored page was last written; 0: there is none. */
   long stamp;
 
-  /** The first entry of the log that the page does not hold; 0: none. */
+  /** Number of the first log entry that the stored page does not include; 0: none. */
   long firstUncoveredEntry;
 
-  /** A write of it has no answer yet. */
+  /** A write of the page has no answer yet, or its outcome is not known. */
   boolean outcomeUnknown;
 
   JobPage(JobRecord record, int index) {
@@ -28,7 +33,7 @@
     return JobIndex.pageName(record.job().id, index);
   }
 
-  /** What the log has recorded of these tasks up to this number. */
+  /** The recorded state of these tasks, which includes all log entries up to the given number. */
   PageRecord record(long lastEntry) {
     return new PageRecord(record.stateOf(this), lastEntry);
   }
--- a/src/main/java/dunlincroft/coordination/JobRecord.java
+++ b/src/main/java/dunlincroft/coordination/JobRecord.java
@@ -8,26 +8,30 @@
 import java.util.List;
 
 /**
- * What the log and the pages hold of a job, and what they do not hold yet. Its news are sent to the
- * log one batch at a time: later ones wait for the outcome of those before.
+ * What the log and the pages record of a job, and which changes are not recorded yet. Changes are
+ * written to the log in one batch at a time: later ones wait for the outcome of the batch before.
  */
 final class JobRecord {
   private final JobRun job;
 
-  /** What the log and the pages say: where tasks may be, and which are done. */
+  /**
+   * State according to the log and the pages: tasks that may be on a machine, and tasks that are
+   * done.
+   */
   private final Int2ObjectOpenHashMap<Placement> recordedPlacements = new Int2ObjectOpenHashMap<>();
 
   private final BitSet recordedDone = new BitSet();
 
-  /** Tasks whose state differs from the record, and since when the first of them does; -1: none. */
+  /** Tasks whose state differs from the recorded state. */
   private final BitSet dirtyTasks = new BitSet();
 
+  /** When the first of the dirty tasks changed; -1: there are none. */
   long dirtySince = -1;
 
-  /** A start waits to be recorded. */
+  /** Changes should be written soon: a start waits for it, or capacity that it frees is needed. */
   boolean urgent;
 
-  /** News that are on their way to the log, or null. */
+  /** The update that is being written to the log, or null. */
   private JobUpdate inFlight;
 
   private final JobPage[] pages;
@@ -52,13 +56,14 @@
     return pages[index];
   }
 
+  /** Marks the state of a task as changed. A start makes the job's changes urgent. */
   void markDirty(int task, long nowMs, boolean isStart) {
     dirtyTasks.set(task);
     dirtySince = dirtySince < 0 ? nowMs : dirtySince;
     urgent |= isStart;
   }
 
-  /** Whether what we know of a task is what is recorded of it. */
+  /** Whether the recorded state of a task is its current state. */
   boolean isClean(int task) {
     return !dirtyTasks.get(task) && (inFlight == null || !inFlight.tasks.get(task));
   }
@@ -67,7 +72,7 @@
     return inFlight != null;
   }
 
-  /** Takes the news, of so many tasks at the most, to be recorded. */
+  /** Collects the changes of at most {@code maxTasks} tasks for the log. */
   JobUpdate nextUpdate(int maxTasks) {
     BitSet tasks = new BitSet();
     BitSet completedTasks = new BitSet();
@@ -87,7 +92,10 @@
     return new JobUpdate(job, tasks, completedTasks, placements);
   }
 
-  /** News leave for the log: until their outcome is known, none of the job follow. */
+  /**
+   * Marks an update as being written: until its outcome is known, no other update of the job
+   * follows.
+   */
   void beginUpdate(JobUpdate update) {
     inFlight = update;
     dirtyTasks.andNot(update.tasks);
@@ -95,13 +103,19 @@
     urgent &= !dirtyTasks.isEmpty();
   }
 
-  /** The news were certainly not recorded, or may yet be: later ones say all of it again. */
+  /**
+   * The update was not recorded, or may still be applied late: its tasks become dirty again, so
+   * that a later update repeats all of it.
+   */
   void abortUpdate(long nowMs) {
     inFlight.tasks.stream().forEach(task -> markDirty(task, nowMs, true));
     inFlight = null;
   }
 
-  /** The news are recorded. Returns the placements whose orders may leave now. */
+  /**
+   * The update is recorded under an entry number. Returns the placements whose start orders may be
+   * sent now.
+   */
   List<Placement> commitUpdate(long entryNumber) {
     JobUpdate update = inFlight;
     inFlight = null;
@@ -128,7 +142,7 @@
     return startable;
   }
 
-  /** Takes over what the records say. */
+  /** Restores the recorded state from the records. */
   void load(JobIndex.Job recordedJob) {
     recordedDone.or(recordedJob.doneTasks());
     for (int pageNumber : recordedJob.pageNumbers()) {
@@ -136,7 +150,7 @@
     }
   }
 
-  /** A record names this placement. */
+  /** Adds a placement that a record names. */
   void addRecordedPlacement(Placement placement) {
     recordedPlacements.put(placement.task, placement);
   }
@@ -145,12 +159,12 @@
     return pages.length > 1;
   }
 
-  /** Whether something is not recorded yet, or not known to be. */
+  /** Whether some change is not recorded yet, or not known to be recorded. */
   boolean hasUnrecordedChanges() {
     return inFlight != null || !dirtyTasks.isEmpty();
   }
 
-  /** What the log has recorded of the tasks of a page. */
+  /** The recorded state of the tasks of a page. */
   TaskState stateOf(JobPage page) {
     int first = page.index * job.pageTasks;
     int end = Math.min(first + job.pageTasks, job.spec.pieces());
@@ -164,7 +178,7 @@
     return new TaskState(recordedDone.get(first, end), new BitSet(), places, job.faulty);
   }
 
-  /** The first entry of the log that some page does not hold; Long.MAX_VALUE: none. */
+  /** Number of the oldest log entry that some page does not include; Long.MAX_VALUE: none. */
   long oldestUncoveredEntry() {
     long oldest = Long.MAX_VALUE;
     for (JobPage page : pages) {
@@ -175,7 +189,7 @@
     return oldest;
   }
 
-  /** Pages of which something is recorded, here or in the log. */
+  /** Pages of whose tasks something is recorded, in the page itself or in the log. */
   List<JobPage> knownPages() {
     List<JobPage> known = new ArrayList<>();
     for (JobPage page : pages) {
--- a/src/main/java/dunlincroft/coordination/JobRun.java
+++ b/src/main/java/dunlincroft/coordination/JobRun.java
@@ -13,15 +13,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A job as its owner runs it: which tasks are done, placed or waiting. */
+/** An unfinished job at the owner of its shard: which of its tasks are done, placed or waiting. */
 final class JobRun {
-  /** How tasks of a job are stopped, and what becomes of work that they have not saved. */
+  /** How tasks of a job are stopped, and whether they may save their work first. */
   enum StopMode {
-    /** They may save it first, if the job says so. */
+    /** Tasks save their work first, if the job supports it. */
     SAVE_FIRST,
-    /** Their time is over: no saving begins, and one under way may end. */
+    /**
+     * The time in which tasks may run is over: no task begins to save, but a save in progress may
+     * finish.
+     */
     WITHOUT_SAVING,
-    /** The job is cancelled, and nobody wants it: a saving under way is cut short too. */
+    /** The job is cancelled and its results are not needed: a save in progress is aborted, too. */
     ABANDON
   }
 
@@ -34,93 +37,122 @@
   final Int2ObjectLinkedOpenHashMap<Placement> placed = new Int2ObjectLinkedOpenHashMap<>();
   final Object2IntOpenHashMap<String> tasksPerZone = new Object2IntOpenHashMap<>();
 
-  /** Whether it may go to spot machines, once somebody asked. */
+  /** Whether its tasks may run on spot machines; null until it is first needed. */
   Boolean spotAllowed;
 
-  /** What the operators let one of its tasks lose, once somebody asked. */
+  /**
+   * Work in milliseconds that one of its tasks may lose by preemption, as the operators allow; -1
+   * until it is first needed.
+   */
   long preemptLossMs = -1;
 
-  /** Where it stands in the order of the present round; worked out once for each. */
+  /**
+   * Seconds for which it can still wait and meet its deadline; computed once for each scheduling
+   * round.
+   */
   double slack;
 
+  /** Whether the job is within its team's guarantee in the present round. */
   boolean isGuaranteed;
 
-  /** What its starts must be guarded by, as a condition said when they were decided. */
+  /**
+   * Keys and stamps that guard the writes of its starts, as a condition required when the starts
+   * were decided.
+   */
   Map<String, Long> startGuards = Map.of();
 
-  /** When its tasks must be over, in milliseconds of the time of day; Long.MAX_VALUE: whenever. */
+  /**
+   * When its tasks must have ended, in milliseconds of wall-clock time; Long.MAX_VALUE: no limit.
+   */
   long deadlineMs = Long.MAX_VALUE;
 
-  /** Its starts may not be executed late. */
+  /** Its starts must not be executed late, and are therefore not sent as direct commands. */
   boolean noLateStart;
 
-  /** The sides that its tasks are shared out over; null: none. */
+  /** Assignment of its tasks to the two sides of a migration; null: none. */
   MigrationSides migrationSides;
 
-  /** The side for which places are sought at present. */
+  /** The migration side that placement is limited to at present; -1: no limit. */
   private int sideFilter = -1;
 
-  /** How its tasks are stopped. */
   private StopMode stopMode = StopMode.SAVE_FIRST;
 
-  /** When it was accepted, if it has waited too long for that order; else Long.MAX_VALUE. */
+  /**
+   * Acceptance time of a job that is overdue and goes before the usual order; else Long.MAX_VALUE.
+   */
   long overdueAcceptedAt = Long.MAX_VALUE;
 
-  /** What it wants of a machine, for the memory of what found no room in a round. */
+  /** Its requirements on a machine, by which a round remembers what found no free capacity. */
   Scheduler.PlacementRequest placementRequest;
 
-  /** Its shard and team, as one text: whose part of the limit it counts against. */
+  /** Shard and team, as one key: the job counts against this shard's share of the team's limit. */
   final String limitKey;
 
-  /** What is recorded of it, and what is not yet. */
+  /** The recorded state, and the changes that are not recorded yet. */
   final JobRecord record;
 
-  /** Tasks that are placed or done; and how many, as every round asks for each job. */
+  /**
+   * Tasks that are placed or done. They are counted as well, because every scheduling round needs
+   * their number for each job.
+   */
   private final BitSet placedOrDone = new BitSet();
 
   private int placedOrDoneCount;
   private int doneCount;
 
   /**
-   * Tasks that count against the team's limit: placed now, or still named by a record. A holder
-   * that takes over runs what records name; were room given away before the record lets go of it,
-   * the records together could exceed the limit.
+   * Tasks that count against the team's limit: those that are placed now and those that a record
+   * still names. An owner that takes over runs the tasks that records name; if capacity were given
+   * away before the record was updated, all records together could exceed the limit.
    */
   private final BitSet chargedTasks = new BitSet();
 
   private int chargedCount;
 
-  /** Machines that a record may name. */
+  /** Machines that a record or a placement of the job may name. */
   private final Set<Machine> referencedMachines = new HashSet<>();
 
   boolean cancelled;
 
+  /** The final state is being written. */
   boolean finishing;
 
-  /** Some placement has been told to go since withdrawUnsent last found none to take back. */
+  /**
+   * A placement was marked for stop since {@code PlacementLog.withdrawUnsent} last found none to
+   * withdraw.
+   */
   boolean withdrawalPending;
 
-  /** Failures in a row, and when the next try may be made. */
+  /** Failures in a row, which determine the delay before the next attempt. */
   private int consecutiveFailures;
 
+  /** Earliest time of the next attempt after failures. */
   long retryAtMs;
 
-  /** Some machine is kept from the job since a task of it failed there. */
+  /** Some machine is excluded for the job because a task of it failed there. */
   boolean everFailed;
 
-  /** Machines that it failed on; none once a task of it has run, as the fault is not the job's. */
+  /**
+   * Machines on which its tasks failed; empty once a task of it has run, as the fault is then not
+   * the job's.
+   */
   private final Set<String> failedHosts = new HashSet<>();
 
-  /** A task of it has run for a while, or to its end, since this holder began. */
+  /**
+   * Whether a task of it has run for a while, or to its end, since this owner acquired the shard.
+   */
   private boolean hasRun;
 
-  /** Fails wherever it goes, as far as is known: it gets one machine at a time until it is not. */
+  /**
+   * Considered faulty: its tasks have failed on several machines and run on none. It runs one task
+   * at a time until one of them runs well.
+   */
   boolean faulty;
 
-  /** Since when a task waits without room; -1: none does. */
+  /** Since when a task waits for free capacity; -1: none does. */
   long waitingSince = -1;
 
-  /** No look for tasks to stop before this: each goes over all machines. */
+  /** Earliest time of the next search for tasks to preempt, as each search scans all machines. */
   long nextPreemptionAt;
 
   JobRun(String id, JobSpec spec, String shard, int pageTasks, long acceptedAt) {
@@ -160,7 +192,6 @@
     return placedOrDoneCount > 0;
   }
 
-  /** Tasks that are done. */
   int doneTaskCount() {
     return doneCount;
   }
@@ -171,7 +202,7 @@
     record.markDirty(task, nowMs, isStart);
   }
 
-  /** Takes over what the records say. */
+  /** Restores the state from the records. */
   void load(JobIndex.Job recordedJob) {
     faulty = recordedJob.faulty();
     hasRun = !faulty && recordedJob.doneCount() > 0;
@@ -179,7 +210,7 @@
     record.load(recordedJob);
   }
 
-  /** A placement that a record names. */
+  /** Adds a placement that a record names. */
   void placeRecorded(Placement placement) {
     placement.recorded = true;
     place(placement);
@@ -187,7 +218,9 @@
   }
 
   /**
-   * Entries of a job too large for one slot may disagree on where its tasks are: wait for the last.
+   * Whether placement must wait until all changes are recorded. The entries of a job that is too
+   * large for one slot of the log may disagree on where its tasks are, which matters to a job that
+   * is spread over zones or kept in one place.
    */
   boolean mustAwaitLog() {
     return record.hasManyPages()
@@ -195,12 +228,15 @@
         && record.hasUnrecordedChanges();
   }
 
-  /** A task was recorded: it counts against the limit while a record names a machine for it. */
+  /**
+   * The state of a task was recorded. It counts against the limit while a record names a machine
+   * for it.
+   */
   void onTaskRecorded(int task, boolean namesMachine) {
     setCharged(task, namesMachine || placed.containsKey(task));
   }
 
-  /** Lets go of machines that neither a record nor a placement names any more. */
+  /** Removes machines that neither a record nor a placement names any more. */
   void removeUnreferencedMachines(Collection<Placement> recorded) {
     Set<Machine> referenced = new HashSet<>();
     recorded.forEach(placement -> referenced.add(placement.machine));
@@ -209,7 +245,10 @@
         machine -> !referenced.contains(machine) && machine.recordedJobs.remove(this));
   }
 
-  /** A task failed on a machine. Returns whether that speaks against the machine. */
+  /**
+   * Counts a failed task and delays the next attempt. Returns whether the failure counts against
+   * the machine, which it does if a task of the job has run well before.
+   */
   boolean onTaskFailed(String host, long nowMs) {
     consecutiveFailures++;
     everFailed = true;
@@ -225,7 +264,10 @@
     return hasRun;
   }
 
-  /** A task has run for a while or to its end. Returns whether the job was taken for faulty. */
+  /**
+   * A task has run for a while or to its end. Returns whether the job was considered faulty until
+   * now.
+   */
   boolean onTaskRan() {
     boolean wasFaulty = faulty;
     hasRun = true;
@@ -235,7 +277,7 @@
     return wasFaulty;
   }
 
-  /** The job is over: no record of it names a machine. */
+  /** The job has ended: no record of it names a machine any more. */
   void detachFromMachines() {
     referencedMachines.forEach(machine -> machine.recordedJobs.remove(this));
   }
@@ -244,7 +286,10 @@
     return spec.pieces() - placedOrDoneCount;
   }
 
-  /** Looks for places for the tasks of one side alone; -1: for all. Returns how many wait. */
+  /**
+   * Limits placement to the tasks of one migration side; -1: no limit. Returns the number of
+   * waiting tasks within this limit.
+   */
   int filterBySide(int side) {
     sideFilter = side;
     int count = 0;
@@ -256,7 +301,7 @@
     return sideFilter < 0 ? waitingTaskCount() : count;
   }
 
-  /** The first waiting task from {@code from} on, of the side that is sought for, or -1. */
+  /** The first waiting task from {@code from} on that passes the side filter, or -1. */
   int nextWaitingTask(int from) {
     int task = placedOrDone.nextClearBit(from);
     while (sideFilter >= 0 && task < spec.pieces() && migrationSides.sideOf(task) != sideFilter) {
@@ -265,12 +310,12 @@
     return task < spec.pieces() ? task : -1;
   }
 
-  /** Whether a machine is of the side that is sought for. */
+  /** Whether a machine passes the side filter. */
   boolean matchesSideFilter(Machine machine) {
     return sideFilter < 0 || belongsToSide(sideFilter, machine);
   }
 
-  /** Whether a task is where its side is. */
+  /** Whether a task is on a machine of the migration side that it belongs to. */
   boolean isOnAssignedSide(Placement placement) {
     return migrationSides == null
         || belongsToSide(migrationSides.sideOf(placement.task), placement.machine);
@@ -281,13 +326,16 @@
         side, machine.host, machine.typeLabel, machine.zone, machine.preemptible);
   }
 
-  /** Marks a placement as one that is to go. */
+  /** Marks a placement to be stopped, or to be withdrawn if its start was not sent yet. */
   void markForStop(Placement placement) {
     placement.stopRequested = true;
     withdrawalPending = true;
   }
 
-  /** Takes back starts that are not recorded yet: what they were decided by has changed. */
+  /**
+   * Withdraws starts that are not recorded yet, because the conditions on which they were decided
+   * have changed.
+   */
   void markUnrecordedForStop() {
     for (Placement placement : placed.values()) {
       if (!placement.recorded) {
@@ -300,20 +348,26 @@
     return stopMode;
   }
 
-  /** What a condition makes of its tasks now; null: nothing. A cancelled job stays so. */
+  /**
+   * Sets how tasks are stopped according to a condition; null: no condition applies. A cancelled
+   * job stays cancelled.
+   */
   void applyConditionEnd(CutOffAction end) {
     if (stopMode != StopMode.ABANDON) {
       stopMode = end == CutOffAction.STOP ? StopMode.WITHOUT_SAVING : StopMode.SAVE_FIRST;
     }
   }
 
-  /** Its record says that it is cancelled. */
+  /** Cancels the job, as its record says. */
   void cancel() {
     cancelled = true;
     abandon();
   }
 
-  /** It is cancelled, by its record or as its user was told by another controller. */
+  /**
+   * Stops all tasks without saving: the job is cancelled, by its record or by what another
+   * controller told its user.
+   */
   void abandon() {
     stopMode = StopMode.ABANDON;
     markAllForStop();
@@ -333,7 +387,7 @@
     placement.machine.recordedJobs.add(this);
   }
 
-  /** Takes a placement away: the task is proven not to be on the machine any more. */
+  /** Removes a placement whose task is proven to be absent from the machine. */
   void removePlacement(Placement placement) {
     if (placed.get(placement.task) == placement) {
       placed.remove(placement.task);
--- a/src/main/java/dunlincroft/coordination/JobService.java
+++ b/src/main/java/dunlincroft/coordination/JobService.java
@@ -20,24 +20,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts, shows and cancels jobs for whatever front the users come through. Nothing is told before
- * it is written, and nothing that is not final without a read barrier.
+ * Accepts, looks up and cancels jobs, independently of the protocol that users speak. Nothing is
+ * reported before it is written, and a state that is not final is reported only after a read
+ * barrier.
  */
 public final class JobService {
   private static final Logger LOG = LoggerFactory.getLogger(JobService.class);
 
-  /** What became of a request. */
+  /** Result of a request. */
   public enum ResultCode {
     CREATED,
     OK,
     NOT_FOUND,
-    /** Can never run. */
+    /** The job can never run. */
     IMPOSSIBLE,
-    /** Not now: the user comes back. */
+    /** The request cannot be served at present and should be retried. */
     UNAVAILABLE
   }
 
-  /** A verdict and, where there is one, the job's state; the cause of "not now", else null. */
+  /**
+   * Result of a request with the state of the job, if there is one. The cause is set for
+   * UNAVAILABLE only, else null.
+   */
   public record Response(
       ResultCode code,
       String ref,
@@ -54,12 +58,12 @@
       return new Response(code, ref, null, 0, 0);
     }
 
-    /** Not now: the user comes again soon. */
+    /** The request should be retried after the shortest delay. */
     static Response unavailable(String ref, UnavailableCause cause) {
       return retryAfter(ref, cause, Constants.RETRY_AFTER_S);
     }
 
-    /** Not now: the user's turn is in so many seconds. */
+    /** The request should be retried after the given number of seconds. */
     static Response retryAfter(String ref, UnavailableCause cause, int retryAfterS) {
       return new Response(ResultCode.UNAVAILABLE, ref, null, 0, 0, retryAfterS, cause);
     }
@@ -75,12 +79,12 @@
     admission = new Admission(clusterState.settings.node(), clusterState.settings::weight);
   }
 
-  /** Who of the users is let in while more come than can be accepted. */
+  /** Decides which submissions are admitted while more arrive than can be accepted. */
   Admission admission() {
     return admission;
   }
 
-  /** Why nobody can be served; null: they can. */
+  /** Why no request can be served at present; null if requests can be served. */
   private UnavailableCause unavailableCause() {
     if (!clusterState.feed.synced()) {
       return UnavailableCause.NOT_SYNCED;
@@ -90,7 +94,7 @@
         : UnavailableCause.OUT_OF_TOUCH;
   }
 
-  /** The same consumer; whoever is answered "not now" is counted by the cause. */
+  /** Wraps a consumer so that UNAVAILABLE responses are counted by request type and cause. */
   private Consumer<Response> countingUnavailable(
       Metrics.RequestType type, Consumer<Response> then) {
     return response -> {
@@ -103,6 +107,7 @@
 
   // ---- submit ----
 
+  /** Accepts a job. A repeated submission reports the state of the job accepted before. */
   public void submit(JobSpec spec, Consumer<Response> answer) {
     Consumer<Response> then = countingUnavailable(Metrics.RequestType.SUBMIT, answer);
     String ref = spec.ref();
@@ -122,7 +127,8 @@
     }
     ResultCode validation = validate(spec);
     if (validation == ResultCode.IMPOSSIBLE) {
-      // A repeated submission of an accepted job is never refused, whatever the types say now.
+      // A repeated submission of an accepted job is never refused, even if it fits none of the
+      // present machine types.
       readOrLookUp(
           ref,
           known ->
@@ -170,7 +176,7 @@
           switch (result.outcome()) {
             case OK -> {
               LOG.info(
-                  "job {} of {} accepted: {} tasks of class {}, owner {}",
+                  "job {} of team {} accepted: {} tasks of class {}, owner {}",
                   ref,
                   spec.owner(),
                   spec.pieces(),
@@ -190,6 +196,10 @@
         });
   }
 
+  /**
+   * Checks a job against its team's limit and the machine types; CREATED if it can run, UNAVAILABLE
+   * while no machine types are known.
+   */
   private ResultCode validate(JobSpec spec) {
     Settings.Team team = clusterState.settings.teams().get(spec.owner());
     if (team == null) {
@@ -206,6 +216,7 @@
 
   // ---- look up ----
 
+  /** The response for a job whose final state the replica holds, else null. */
   private Response endedResponse(String ref) {
     Item item = clusterState.replica.get(Replica.ENDED, ref);
     return item == null ? null : endedResponse(ref, item.data(), item.stamp());
@@ -219,6 +230,7 @@
     return new Response(ResultCode.OK, ref, status, endRecord.path("done").asInt(), 0);
   }
 
+  /** Reports the state of a job. */
   public void poll(String ref, Consumer<Response> then) {
     find(ref, countingUnavailable(Metrics.RequestType.POLL, then));
   }
@@ -235,7 +247,10 @@
     }
   }
 
-  /** The state after a barrier; one whose end may have been forgotten is looked up before a 404. */
+  /**
+   * Reports the state after a read barrier. If the replica has evicted final states, a job that it
+   * does not know is looked up in the state service before NOT_FOUND (404) is reported.
+   */
   private void readOrLookUp(String ref, Consumer<Response> then) {
     readState(
         ref,
@@ -258,7 +273,7 @@
         });
   }
 
-  /** Reads the end of a job that our replica no longer holds. */
+  /** Reads the final state of a job that the replica has evicted. */
   private void lookUpInStore(String kind, String ref, Consumer<Response> then) {
     clusterState.store.get(
         Wire.key(kind, ref),
@@ -274,6 +289,7 @@
         });
   }
 
+  /** Reports the state according to the replica after a read barrier. */
   private void readState(String ref, Consumer<Response> then) {
     clusterState.feed.barrier(
         ok -> {
@@ -300,13 +316,17 @@
 
   // ---- cancel ----
 
-  /** Who tells of a cancellation vouches for it to the other controllers, before the user knows. */
+  /**
+   * Reports a cancellation to a user. It is registered with the membership first, because the other
+   * controllers rely on being told of every cancellation that any user was told.
+   */
   private Response cancelledResponse(String ref, long revision, int done) {
     return membership.acknowledgeCancellation(ref, revision)
         ? new Response(ResultCode.OK, ref, Wire.WITHDRAWN, done, 0)
         : Response.unavailable(ref, UnavailableCause.PROMISED);
   }
 
+  /** Cancels a job that has not ended, and reports its state. */
   public void cancel(String ref, Consumer<Response> answer) {
     Consumer<Response> then = countingUnavailable(Metrics.RequestType.CANCEL, answer);
     find(
@@ -330,7 +350,8 @@
                 switch (result.outcome()) {
                   case OK -> {
                     LOG.info("job {} cancelled by its user", ref);
-                    // The barrier came after the request: nobody was told of more before it.
+                    // The number of done tasks was read behind a barrier that followed this
+                    // request, so no earlier response reported a higher one.
                     then.accept(cancelledResponse(ref, result.revision(), response.done));
                   }
                   case CONFLICT -> readState(ref, then);
--- a/src/main/java/dunlincroft/coordination/JobUpdate.java
+++ b/src/main/java/dunlincroft/coordination/JobUpdate.java
@@ -7,10 +7,13 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** News of a job that are on their way to the log. */
+/** Changes of a job's tasks that are written to the log as one entry. */
 final class JobUpdate {
   private final JobRun job;
+
+  /** All tasks of the update. Those that are neither done nor placed wait to be placed. */
   final BitSet tasks;
+
   final BitSet done;
   final List<Placement> placements;
 
@@ -25,7 +28,7 @@
     return job;
   }
 
-  /** Whether a task is to start once this is recorded. */
+  /** Whether the update contains starts, whose orders are sent once it is recorded. */
   boolean hasStarts() {
     return placements.stream().anyMatch(placement -> !placement.recorded);
   }
--- a/src/main/java/dunlincroft/coordination/Metrics.java
+++ b/src/main/java/dunlincroft/coordination/Metrics.java
@@ -7,25 +7,45 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What an operator reads off a day: waits by class, and how the node fares. */
+/**
+ * Metrics that are logged for operators: waiting times by job class, and counts of events and of
+ * requests answered with 503.
+ */
 final class Metrics {
   private static final Logger LOG = LoggerFactory.getLogger(Metrics.class);
   private static final long MAX_RECORDED_WAIT_MS = 3_600_000;
 
-  /** What is counted between two lines. */
+  /** Events counted between two log lines. */
   enum Event {
+    /** This controller acquired a shard. */
     TAKEOVER,
+
+    /** A machine was silent for so long that its worker is queried directly. */
     SUSPECT,
+
+    /** A worker sends reports but does not receive our answers. */
     DEAF,
+
+    /** A machine is released. */
     RELEASE,
+
+    /** A task is stopped to free capacity for a job with precedence. */
     PREEMPTION,
+
+    /** A task is stopped in order to empty its machine. */
     MOVE,
+
+    /** Machines or a share of a team's limit were handed over to another shard. */
     HANDOVER,
+
+    /** This process was paused (by garbage collection or by the operating system). */
     STANDSTILL,
+
+    /** A heartbeat was answered on behalf of an owner that is unavailable. */
     STOOD_IN
   }
 
-  /** Who was answered "not now". */
+  /** Types of requests that are counted when they are answered with 503. */
   enum RequestType {
     SUBMIT,
     POLL,
@@ -47,26 +67,28 @@
     eventCounts.merge(event, 1, Integer::sum);
   }
 
-  /** Somebody was answered "not now". */
+  /** Counts a request that was answered with 503. */
   void countUnavailable(RequestType type, UnavailableCause cause) {
     unavailableCounts
         .computeIfAbsent(type, t -> new EnumMap<>(UnavailableCause.class))
         .merge(cause, 1, Integer::sum);
   }
 
-  /** How often an asker was answered "not now" for a cause since the last line. */
+  /**
+   * Number of requests of a type that were answered with 503 for a cause since the last log line.
+   */
   int unavailableCount(RequestType type, UnavailableCause cause) {
     return unavailableCounts.getOrDefault(type, Map.of()).getOrDefault(cause, 0);
   }
 
-  /** A task runs: its wait is counted from the acceptance of its job. */
+  /** Records that a task runs. Its waiting time is counted from the acceptance of its job. */
   void recordStart(Placement placement, long nowMs) {
     long waitMs = Math.max(0, wallClock.getAsLong() - placement.job.acceptedAt);
     waitsByClass
         .computeIfAbsent(placement.job.spec.jobclass(), c -> new Histogram(MAX_RECORDED_WAIT_MS, 2))
         .recordValue(Math.min(waitMs, MAX_RECORDED_WAIT_MS));
     LOG.debug(
-        "{} try {} runs on host {}, {} ms after its job was accepted, {} ms after it was placed",
+        "{} attempt {} runs on host {}, {} ms after its job was accepted, {} ms after placement",
         placement.taskName(),
         placement.attempt,
         placement.machine.host,
@@ -74,7 +96,7 @@
         nowMs - placement.placedAtMs);
   }
 
-  /** Logs the figures since the last call and begins anew. */
+  /** Logs the metrics collected since the last call and resets them. */
   void log(String prefix) {
     waitsByClass.forEach(
         (jobclass, histogram) ->
--- a/src/main/java/dunlincroft/coordination/PlacementLog.java
+++ b/src/main/java/dunlincroft/coordination/PlacementLog.java
@@ -24,10 +24,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the state of jobs ahead of what it allows: placements before their orders leave, ends
- * before users are told. News of all jobs of a shard go to its log in one change; a page is written
- * only when the log would otherwise grow too long. Every write is guarded by the shard's stamp, so
- * that a node that lost the shard writes nothing more.
+ * Write-ahead log of the state of jobs: placements are recorded before their start orders are sent,
+ * and final states before users are told. The changes of all jobs of a shard go to the shard's log
+ * in one write; pages, which are checkpoints of a job's tasks, are written only when the log would
+ * otherwise grow too long. Every write is guarded by the stamp of the shard's record, so that a
+ * controller that has lost the shard cannot write any more.
  */
 final class PlacementLog {
   private static final Logger LOG = LoggerFactory.getLogger(PlacementLog.class);
@@ -43,31 +44,38 @@
     this.startConditions = startConditions;
   }
 
-  /** Told which machines have orders after a write. */
+  /** Sets the listener that learns after a write which machines have new start orders. */
   void setRecordedListener(Consumer<Collection<Machine>> listener) {
     recordedListener = listener;
   }
 
+  /** Marks the state of a task as changed. A start makes the changes of its job urgent. */
   void markDirty(JobRun job, int task, boolean isStart) {
     job.markDirty(task, clusterState.now(), isStart);
     dirtyJobs.add(job);
   }
 
   /**
-   * True for a job as we run it now. After a shard was lost and won back the job is rebuilt from
-   * its record; what we knew before, whose write was still out, must never be written again: it
-   * would undo what another holder recorded, and its tasks would run twice.
+   * Whether this is the current object of the job. When a shard is lost and acquired again, its
+   * jobs are rebuilt from their records. The state from before, of which a write may still be in
+   * flight, must never be written again: it would undo what another owner recorded, and its tasks
+   * would run twice.
    */
   private boolean isCurrentRun(JobRun job) {
     return clusterState.jobs.get(job.id) == job;
   }
 
-  /** Makes what waits to be recorded of a job urgent: its room or zones are wanted. */
+  /**
+   * Makes the unrecorded changes of a job urgent, because the capacity or the zones that they free
+   * are needed.
+   */
   void expedite(JobRun job) {
     job.record.urgent |= job.record.dirtySince >= 0;
   }
 
-  /** The same for all jobs of a team: room that it takes of the limit is wanted. */
+  /**
+   * Does the same for all jobs of a team, because the part of its limit that they occupy is needed.
+   */
   void expedite(String team) {
     for (JobRun job : dirtyJobs) {
       if (job.spec.owner().equals(team)) {
@@ -76,7 +84,7 @@
     }
   }
 
-  /** Drops what is no longer ours to write. */
+  /** Discards the state of jobs and shards that this controller no longer owns. */
   void discardUnowned() {
     dirtyJobs.removeIf(job -> !isCurrentRun(job));
     logs.values()
@@ -88,7 +96,10 @@
         && clusterState.ownedShards.getLong(log.shard) == log.ownershipStamp;
   }
 
-  /** Writes what is due: ends of jobs, placements, and completions that have waited long enough. */
+  /**
+   * Writes what is due: final states of jobs, placements, and completions that have waited long
+   * enough.
+   */
   void flush() {
     long now = clusterState.now();
     for (JobRun job : clusterState.jobs.values()) {
@@ -117,7 +128,8 @@
                   job ->
                       job.record.urgent
                           && (now >= dueAt(job, dueLog) || (hasWriteBudget && isProd(job))));
-      // One change starts many tasks: starts go on, at their pace, whatever else wants the budget.
+      // One write starts many tasks. Starts are therefore written at their usual interval, whatever
+      // other writes need of the budget.
       if (startsDue || jobsToWrite.stream().anyMatch(job -> now >= dueAt(job, dueLog))) {
         backlog++;
         if (startsDue || hasWriteBudget) {
@@ -134,7 +146,10 @@
     return job.spec.rank() == JobSpec.Rank.PROD;
   }
 
-  /** Jobs of a shard with news, those that start services first, then those that start others. */
+  /**
+   * Jobs of a shard with unrecorded changes: urgent ones of rank PROD first, then other urgent
+   * ones, then the rest; in each group the oldest changes come first.
+   */
   private List<JobRun> jobsWithChanges(String shard) {
     List<JobRun> jobsToWrite = new ArrayList<>();
     for (JobRun job : dirtyJobs) {
@@ -149,7 +164,10 @@
     return jobsToWrite;
   }
 
-  /** When a job's news should be written; they then take along those of all others. */
+  /**
+   * When the changes of a job should be written. That write includes those of all other jobs of the
+   * shard.
+   */
   private static long dueAt(JobRun job, ShardLog log) {
     return job.record.urgent
         ? Math.max(job.record.dirtySince, log.lastWriteAt + Constants.LOG_PAUSE_MS)
@@ -158,7 +176,7 @@
 
   // ---- the log ----
 
-  /** The first entry that some page of the shard does not hold. */
+  /** The oldest log entry that some page of the shard does not include. */
   private long oldestUncoveredEntry(String shard) {
     long oldest = Long.MAX_VALUE;
     for (JobRun job : clusterState.jobs.values()) {
@@ -201,7 +219,7 @@
       }
       if (update.hasStarts()) {
         if (!startConditions.guardsHold(job)) {
-          continue; // Its starts are taken back, now that their guards have changed.
+          continue; // Its starts will be withdrawn, as their guards have changed.
         }
         if (cancelKeys.size() + conditionGuards.size() + job.startGuards.size() >= maxGuards) {
           break;
@@ -279,9 +297,10 @@
   }
 
   /**
-   * A write without an answer may be applied late: then the slot's stamp is not what we think, and
-   * the next write to it fails and comes here. Nothing else is written before the slot was read. A
-   * successor goes on counting where we did: an entry of our number may be its own.
+   * Reads a slot to learn the outcome of a write. A write without an answer may be applied late:
+   * the stamp of the slot then differs from the one read here, and the next write to it fails and
+   * is resolved here as well. Nothing else is written to the log before the slot has been read. A
+   * new owner continues our entry numbers, so an entry with our number may be the new owner's.
    */
   private void reread(ShardLog log, long entryNumber, JsonNode written, List<JobUpdate> updates) {
     clusterState.store.get(
@@ -303,7 +322,7 @@
               return;
             }
           } catch (Malformed e) {
-            LOG.info("slot {}: {}", log.currentSlotKey(), e.getMessage());
+            LOG.info("malformed answer for log slot {}: {}", log.currentSlotKey(), e.getMessage());
           }
           clusterState.env.after(
               Constants.REREAD_MS, () -> reread(log, entryNumber, written, updates));
@@ -313,7 +332,8 @@
   // ---- pages ----
 
   /**
-   * Writes pages of the jobs that keep the log's oldest slots, so that these can be filled anew.
+   * Writes pages of the jobs that need the oldest slots of the log, so that these slots can be
+   * reused.
    */
   private void checkpointPages(ShardLog log) {
     long oldest = oldestUncoveredEntry(log.shard);
@@ -378,11 +398,14 @@
         }
       }
     }
-    LOG.info("write refused by its guards {}: reading what changed", failedKeys);
+    LOG.info("write refused, failed guards: {}; reading the latest changes", failedKeys);
     clusterState.feed.barrier(ok -> clusterState.placementDue = true);
   }
 
-  /** Unwanted placements that no order ever left for are taken back without asking the worker. */
+  /**
+   * Withdraws placements that are marked for stop and whose start order was never sent; the worker
+   * need not be asked.
+   */
   private void withdrawUnsent(JobRun job) {
     if (!job.withdrawalPending) {
       return;
@@ -400,7 +423,10 @@
     }
   }
 
-  /** A write without an answer may be applied late; its guard or ours then fails. Read, go on. */
+  /**
+   * Reads the stamp of a page whose write was not answered or has failed. The write may still be
+   * applied late; then either its guard or the guard of the next write fails.
+   */
   private void reread(JobPage page) {
     page.outcomeUnknown = true;
     clusterState.store.get(
@@ -417,20 +443,21 @@
             page.stamp = StateStore.stamp(answer);
             page.outcomeUnknown = false;
           } catch (Malformed e) {
-            LOG.info("page {}: {}", page.name(), e.getMessage());
+            LOG.info("malformed answer for page {}: {}", page.name(), e.getMessage());
             clusterState.env.after(Constants.REREAD_MS, () -> reread(page));
           }
         });
   }
 
-  /** The final state takes the place of the job's description: one change for most jobs. */
+  /** Replaces the record of a job by its final state; for most jobs this takes a single change. */
   private void recordEnd(JobRun job) {
     List<JobPage> pages = job.record.knownPages();
     if (job.record.hasUpdateInFlight() || pages.stream().anyMatch(page -> page.outcomeUnknown)) {
       return;
     }
     boolean isCancelled = job.cancelled;
-    // What a large job has beyond one transaction is removed by sweep() afterwards.
+    // Pages of a large job that do not fit into one transaction are removed later by
+    // removeOrphanedPages().
     List<JobPage> storedPages =
         pages.stream()
             .filter(page -> page.stamp > 0)
@@ -470,7 +497,10 @@
             return;
           }
           LOG.info(
-              "end of job {} not written: {} {}", job.id, result.outcome(), result.failedKeys());
+              "final state of job {} not written: {} {}",
+              job.id,
+              result.outcome(),
+              result.failedKeys());
           storedPages.forEach(this::reread);
           clusterState.feed.barrier(
               ok -> {
@@ -480,7 +510,9 @@
         });
   }
 
-  /** Removes pages whose job is over, a few at a time. The leader does it. */
+  /**
+   * Removes pages of jobs that have ended, a limited number at a time. Called on the leader only.
+   */
   void removeOrphanedPages() {
     Txn txn = new Txn();
     for (String name : clusterState.replica.items(Replica.PAGES).keySet()) {
@@ -494,7 +526,9 @@
     }
     if (txn.size() > 0) {
       clusterState.store.commit(
-          Urgency.LAZY, txn, result -> LOG.debug("swept pages: {}", result.outcome()));
+          Urgency.LAZY,
+          txn,
+          result -> LOG.debug("removal of pages of ended jobs: {}", result.outcome()));
     }
   }
 }
--- a/src/main/java/dunlincroft/coordination/ProxyOwner.java
+++ b/src/main/java/dunlincroft/coordination/ProxyOwner.java
@@ -13,24 +13,30 @@
 import java.util.Map;
 
 /**
- * Answers workers for a holder that is gone while the state service is down and nobody can take its
- * place: what runs goes on, what is cancelled is stopped, and nothing starts.
+ * Answers heartbeats on behalf of an owner that is gone while the state service is unavailable and
+ * no other controller can acquire the shard: running tasks continue, cancelled tasks are stopped,
+ * and nothing starts.
  *
- * <p>Such an answer renews a lease, and the end of a lease is a promise of one kind only: that
- * cancelled tasks end in time. So it is given as long as the low watermark allows, as a holder's.
+ * <p>Such an answer renews the worker's lease. The end of a lease guarantees only that cancelled
+ * tasks end in time. Answers are therefore given for as long as the low watermark of cancellations
+ * allows, which is the rule for an owner, too.
  *
- * <p>A start of the holder may still be held up on its way, and would be carried out in a session
- * that now goes on. Starts leave under fences up to which their sender has read, so none of a
- * cancelled job left under a fence above the cancellation. The answer's fence is no lower than any
- * cancellation that we know of, and with that all such starts are void. It is not above the state
- * service's revision: the stamp of the next change of hands is higher, and a holder that is back
- * writes its block anew.
+ * <p>A start sent by the owner may still be delayed in flight, and would be executed in the session
+ * that now continues. A start is sent only under a fence up to which its sender has read the state
+ * service, so no start of a cancelled job was sent under a fence above the revision of the
+ * cancellation. The fence of the answer is no lower than any cancellation that is known here, which
+ * makes all such starts void. It is not above the revision of the state service: the stamp of the
+ * next change of ownership is higher, and an owner that returns rewrites its block to raise its
+ * fence.
  */
 final class ProxyOwner {
   private final ClusterState clusterState;
   private final Membership membership;
 
-  /** Jobs that others told us are cancelled, and when, until we have read the records since. */
+  /**
+   * Jobs that peers reported as cancelled, with the time of the report. An entry is kept until the
+   * records have been read at a later time.
+   */
   private final Map<String, Long> cancelledJobs = new HashMap<>();
 
   ProxyOwner(ClusterState clusterState, Membership membership) {
@@ -38,13 +44,16 @@
     this.membership = membership;
   }
 
-  /** Another controller handed a cancellation to us. */
+  /** Handles a cancellation that a peer reported. */
   void onCancelled(String job) {
     cancelledJobs.values().removeIf(receivedAt -> receivedAt < clusterState.feed.currentAsOf());
     cancelledJobs.put(job, clusterState.now());
   }
 
-  /** Whether a worker's report is ours to answer: nobody else can, and our knowledge is enough. */
+  /**
+   * Whether to answer a worker's report on behalf of its owner: no other controller can, and our
+   * knowledge of cancellations is recent enough.
+   */
   boolean canAnswer(WorkerReport report, BlockIndex.Block block) {
     if (!isCommonOutage()) {
       return false;
@@ -56,22 +65,23 @@
   }
 
   /**
-   * Whether the holder is gone and, as far as we hear, nobody can follow it: sent there, a worker
-   * would come back, and it had better try all others.
+   * Whether the owner is gone and, as far as this controller knows, no other can acquire the shard.
+   * A redirect to the owner would bring the worker back, so it should try all other controllers.
    */
   boolean hasNoReachableOwner(String shard) {
     return isCommonOutage() && !membership.isOwnerAlive(shard);
   }
 
   /**
-   * Who alone is refused or cut off does not stand in: somebody else takes the shard over, and must
-   * hear from its workers.
+   * Whether the state service is unavailable to all controllers. If only this one is refused or cut
+   * off, it must not answer for others: another controller acquires the shard and must receive the
+   * heartbeats of its workers.
    */
   private boolean isCommonOutage() {
     return clusterState.feed.stalenessMs() > Constants.STALE_MS && membership.isCommonOutage();
   }
 
-  /** What a worker is told: to stop what is cancelled, and else to go on. */
+  /** The answer to a worker: orders to stop cancelled tasks. All other tasks continue. */
   ObjectNode answer(WorkerReport report) {
     List<Order> orders =
         report.pieces().stream()
--- a/src/main/java/dunlincroft/coordination/ReportHandler.java
+++ b/src/main/java/dunlincroft/coordination/ReportHandler.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes what a report says the state of tasks. A placement ends only by the word of the worker or
- * by the release of its machine.
+ * Updates the state of tasks from the reports of workers. A placement ends only when the worker
+ * reports so or when its machine is released.
  */
 final class ReportHandler {
   private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
@@ -27,13 +27,16 @@
     this.faultAttribution = faultAttribution;
   }
 
-  /** It has shown that it hears, by an answer that a report of its has overtaken. */
+  /**
+   * Handles a reply that a newer report of the worker has overtaken: it still shows that the worker
+   * receives our messages.
+   */
   void onOvertakenAnswer(Machine machine) {
     onReachable(machine);
     machine.session.onAnswer();
   }
 
-  /** What follows if a machine hears that did not before. */
+  /** Reacts to a sign that a worker receives our messages, if that was not known before. */
   private void onReachable(Machine machine) {
     switch (machine.session.state()) {
       case UNREPORTED, REACHABLE -> {}
@@ -48,7 +51,7 @@
     }
   }
 
-  /** Takes a report in that is newer than those seen before. */
+  /** Processes a report that is newer than all reports seen before. */
   void handle(Machine machine, WorkerReport report) {
     if (!machine.session.hasReported()) {
       LOG.info(
@@ -98,21 +101,23 @@
     }
   }
 
+  /** Drains a machine after the cloud provider announced that it will reclaim it. */
   private void onReclaimNotice(Machine machine, double warningS) {
-    LOG.info("host {} will be taken in {} s: draining", machine.host, warningS);
+    LOG.info("host {} will be reclaimed in {} s: draining", machine.host, warningS);
     machine.drainReason = "notice";
     clusterState.placementDue = true;
     for (Placement placement : machine.placements.values()) {
       double remainingS =
           placement.job.spec.expectS() - (clusterState.now() - placement.placedAtMs) / 1000.0;
-      // A notice may be half as long as it says; what will not end in that time moves at once.
+      // The machine may be reclaimed after only half of the announced time. Tasks that will not end
+      // within that time are moved at once.
       if (remainingS > warningS / 2) {
         placement.job.markForStop(placement);
       }
     }
   }
 
-  /** A report shows a recorded placement. */
+  /** Updates a placement from a report that contains its task. */
   private void updatePlacement(Machine machine, Placement placement, Piece reportedTask) {
     boolean started =
         placement.reportedStatus == null || !placement.reportedStatus.equals(Wire.RUNNING);
@@ -130,8 +135,9 @@
       return;
     }
     if (!machine.session.hasSeenOurFence()) {
-      // A holder before us may still order this try, and the worker would obey once its session
-      // has changed. Until the worker has seen our fence, its word is not the last one.
+      // An order of a previous owner to run this attempt may still be in flight, and the worker
+      // would obey it once its session has changed. Until the worker has seen our fence, the exit
+      // of the task is not final.
       return;
     }
     String cause = reportedTask.cause() == null ? "" : reportedTask.cause();
@@ -145,15 +151,18 @@
             placement.job.spec, (clusterState.now() - placement.runningSinceMs) / 1000.0);
       }
       LOG.debug(
-          "{} try {} is done on host {}", placement.taskName(), placement.attempt, machine.host);
+          "{} attempt {} is done on host {}",
+          placement.taskName(),
+          placement.attempt,
+          machine.host);
       placement.job.removePlacement(placement);
       placement.job.markDone(placement.task);
       placementLog.markDirty(placement.job, placement.task, false);
       clusterState.placementDue = true;
     } else {
       if (machine.session.hasUnresolvedCommand()) {
-        // An order without an answer may repeat this try, should the worker begin anew: the fence
-        // is raised first.
+        // A command without an answer could start this attempt again if the worker restarts. The
+        // fence is raised first.
         return;
       }
       if (cause.equals(Wire.FULL)) {
@@ -165,22 +174,29 @@
     }
   }
 
+  /**
+   * Marks a task as done after an older attempt, which no record names any more, has completed it.
+   * A task that is placed again is left to its current attempt.
+   */
   private void onDoneByOlderAttempt(JobRun job, int task) {
     if (job.done.get(task) || task >= job.spec.pieces() || job.spec.daemon()) {
       return;
     }
     Placement currentPlacement = job.placed.get(task);
     if (currentPlacement == null) {
-      LOG.debug("{} is done by an older try", Wire.piece(job.id, task));
+      LOG.debug("{} is done by an older attempt", Wire.piece(job.id, task));
       job.markDone(task);
       placementLog.markDirty(job, task, false);
     }
   }
 
-  /** The task is proven to be off the machine; it waits again unless its job is cancelled. */
+  /**
+   * Removes a placement whose task is proven to be absent from the machine. The task waits to be
+   * placed again unless its job is cancelled.
+   */
   void removePlacement(Placement placement, String reason) {
     LOG.debug(
-        "{} try {} left host {}: {}",
+        "{} attempt {} removed from host {}: {}",
         placement.taskName(),
         placement.attempt,
         placement.machine.host,
--- a/src/main/java/dunlincroft/coordination/ShardLog.java
+++ b/src/main/java/dunlincroft/coordination/ShardLog.java
@@ -12,16 +12,17 @@
 import java.util.TreeMap;
 
 /**
- * The log of a shard that we hold: slots in the state service that are filled one after the other.
- * A slot is filled anew once no page misses anything that only it says. One write is out at a time.
+ * The log of a shard that this controller owns. It consists of slots, which are keys of the state
+ * service that are filled one after the other. A slot is reused once pages include all of its
+ * entries. Only one write is in flight at a time.
  */
 final class ShardLog {
-  /** A slot as it is recorded. */
+  /** A slot of the log, as it is recorded. */
   private static final class Slot {
     private final int index;
     private long stamp;
 
-    /** The number of its last entry. */
+    /** Number of the last entry; 0: there is none. */
     private long lastEntry;
 
     private ArrayNode entries = Cbor.map().putArray("log");
@@ -43,15 +44,15 @@
 
   final String shard;
 
-  /** The stamp under which we hold the shard, and with it this log. */
+  /** Stamp of the shard's record under which this controller owns the shard and its log. */
   final long ownershipStamp;
 
-  /** A write is out, or its outcome is not known yet. */
+  /** A write is in flight, or its outcome is not known yet. */
   boolean writeInFlight;
 
   long lastWriteAt;
 
-  /** All entries up to this number are known to be recorded, or never to be. */
+  /** All entries up to this number are known to be recorded, or never will be. */
   long lastSettledEntry;
 
   private final TreeMap<Integer, Slot> slots = new TreeMap<>();
@@ -77,18 +78,20 @@
             });
   }
 
-  /** A number that no entry of this holding had yet. */
+  /** A number that no entry of this period of ownership has had. */
   long nextEntryNumber() {
     lastEntryNumber++;
     return lastEntryNumber;
   }
 
-  /** Slots that say something which no page holds, when pages miss entries from here on. */
+  /**
+   * Number of slots that are still needed, given the oldest entry that some page does not include.
+   */
   int usedSlots(long oldestUncovered) {
     return (int) slots.values().stream().filter(slot -> slot.lastEntry >= oldestUncovered).count();
   }
 
-  /** Goes on to a slot that says nothing any more, or to a new one. */
+  /** Continues with a slot whose entries are all included in pages, or with a new one. */
   void advanceSlot(long oldestUncovered) {
     Slot reusable = null;
     for (Slot slot : slots.values()) {
@@ -108,7 +111,7 @@
     return currentSlot != null;
   }
 
-  /** Characters in the present slot, and whether any entry is there. */
+  /** Size of the entries in the current slot, in characters. */
   int currentSlotBytes() {
     return currentSlot.bytes();
   }
@@ -125,7 +128,10 @@
     return currentSlot.stamp;
   }
 
-  /** The present slot with more entries; what is recorded must not change under its readers. */
+  /**
+   * A copy of the current slot with more entries. The recorded slot is not modified, as others may
+   * be reading it.
+   */
   ObjectNode currentSlotWith(Iterable<ObjectNode> newEntries) {
     ObjectNode updated = Cbor.map();
     ArrayNode list = updated.putArray("log").addAll(currentSlot.entries);
@@ -133,12 +139,14 @@
     return updated;
   }
 
-  /** The present slot is known to be recorded like this; null: not at all. */
+  /**
+   * Sets the content and stamp with which the current slot is recorded; null: it does not exist.
+   */
   void setCurrentSlot(JsonNode data, long stamp) {
     currentSlot.load(data, stamp);
   }
 
-  /** Whether the present slot is recorded just as it was written, and not by somebody else. */
+  /** Whether the current slot is recorded exactly as it was written, and not by another owner. */
   boolean isRecorded(JsonNode written) throws Malformed {
     LogRecord recordedSlot = LogRecord.parse(Cbor.map().set("log", currentSlot.entries));
     return recordedSlot.equals(LogRecord.parse(written));
--- a/src/main/java/dunlincroft/coordination/UnavailableCause.java
+++ b/src/main/java/dunlincroft/coordination/UnavailableCause.java
@@ -1,27 +1,33 @@
 package dunlincroft.coordination;
 
-/** Why somebody was answered "not now": status 503, for operators to tell the causes apart. */
+/** Why a request was answered with status 503. Operators see the causes in the logged metrics. */
 public enum UnavailableCause {
-  /** The state service's keys have not been read yet, or must be read anew. */
+  /** The keys of the state service have not been read yet, or must be read again. */
   NOT_SYNCED,
-  /** Nothing was heard from the state service for too long. */
+  /** The state service has not answered for too long. */
   OUT_OF_TOUCH,
-  /** The read barrier was not answered, or found no room in the budget. */
+  /** The read barrier was not answered, or did not fit into the request budget. */
   NO_BARRIER,
-  /** A key that the replica has forgotten could not be looked up. */
+  /** A key that the replica has evicted could not be looked up in the state service. */
   NO_LOOKUP,
-  /** No machine types are known yet, or nobody whom machines are leased to. */
+  /** No machine types are known yet, or no shard has leased machines. */
   NO_OWNER,
-  /** Admission: more come than can be accepted, and it was not this one's turn. */
+  /** Admission control: more submissions arrive than can be accepted, and this one has to wait. */
   NO_TURN,
-  /** Its write was let in and found no room in the budget. */
+  /** The write was admitted but did not fit into the write budget. */
   NO_BUDGET,
-  /** Its write was sent and not answered: whether it was carried out is not known. */
+  /** The write was sent and not answered: whether it was applied is not known. */
   NO_ANSWER,
-  /** Others rely on it that no cancellation is told here that they do not know: for a while. */
+  /**
+   * This controller has promised its peers for a limited time to report no cancellation that they
+   * do not know.
+   */
   PROMISED,
-  /** A worker's machine is in no block yet: it is adopted, and its worker comes again. */
+  /**
+   * For a worker: its machine belongs to no block yet. The machine is adopted, and the worker
+   * retries.
+   */
   NEW_MACHINE,
-  /** A worker's: a cancellation that some user was told might not be known here. */
+  /** For a worker: a cancellation that was reported to a user might not be known here. */
   UNSURE_OF_CANCELS
 }
--- a/src/test/java/dunlincroft/coordination/JobRunTest.java
+++ b/src/test/java/dunlincroft/coordination/JobRunTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How the tasks of a job are stopped, and how its changes become its record. */
+/** How the tasks of a job are stopped, and how its changes are recorded. */
 class JobRunTest {
   private static final int TASKS = 4;
   private static final int PAGE_TASKS = 2;
--- a/src/test/java/dunlincroft/coordination/MetricsTest.java
+++ b/src/test/java/dunlincroft/coordination/MetricsTest.java
@@ -8,7 +8,10 @@
 class MetricsTest {
   private final Metrics metrics = new Metrics(() -> 0);
 
-  /** Users and workers, and causes, are told apart; each line begins anew. */
+  /**
+   * Unavailable responses are counted by request type and cause, and each log line resets the
+   * counts.
+   */
   @Test
   void unavailableResponsesAreCountedByRequestTypeAndCause() {
     metrics.countUnavailable(RequestType.SUBMIT, UnavailableCause.NO_BUDGET);
--- a/src/test/java/dunlincroft/coordination/ShardLogTest.java
+++ b/src/test/java/dunlincroft/coordination/ShardLogTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A write of the log gets no answer and its slot is read. A successor counts on where the former
- * owner did, so an entry of the same number may be the successor's. Found by reading {@code
- * PlacementLog.reread}: it took any entry of the number for its own, and a start that was never
- * recorded for a recorded one. It was not seen on any day; the worker's fence would mostly have
- * refused the order.
+ * Guards against taking another owner's log entry for one's own. When a write of the log gets no
+ * answer, its slot is read. A new owner continues the entry numbers of the former one, so an entry
+ * with the same number may be the new owner's. {@code PlacementLog.reread} accepted any entry with
+ * that number and considered a start recorded that never was; the worker's fence would have refused
+ * the order in most cases.
  */
 class ShardLogTest {
   private static ObjectNode entry(long number, String host) {
