--- a/src/main/java/dunlincroft/coordination/AnswerHandler.java
+++ b/src/main/java/dunlincroft/coordination/AnswerHandler.java
@@ -11,12 +11,12 @@
 final class AnswerHandler {
   private static final Logger LOG = LoggerFactory.getLogger(AnswerHandler.class);
 
-  private final ClusterState clusterState;
+  private final ClusterState cluster;
   private final ReportHandler reportHandler;
   private final FenceRaiser fenceRaiser;
 
-  AnswerHandler(ClusterState clusterState, ReportHandler reportHandler, FenceRaiser fenceRaiser) {
-    this.clusterState = clusterState;
+  AnswerHandler(ClusterState cluster, ReportHandler reportHandler, FenceRaiser fenceRaiser) {
+    this.cluster = cluster;
     this.reportHandler = reportHandler;
     this.fenceRaiser = fenceRaiser;
   }
@@ -38,8 +38,7 @@
   boolean process(Machine machine, LastReport lastReport, Reply reply) {
     try {
       WorkerReport report = WorkerReport.parse(Cbor.parse(reply.body()));
-      if (!report.host().equals(machine.host)
-          || report.fence() > clusterState.fenceToken(machine)) {
+      if (!report.host().equals(machine.host) || report.fence() > cluster.fenceToken(machine)) {
         return false;
       }
       if (!report.after(lastReport.sessionNumber, lastReport.counter)) {
@@ -66,7 +65,7 @@
   private void handleRestart(Machine machine, WorkerReport report) {
     LOG.info(
         "host {} has restarted; its {} tasks are lost", machine.host, machine.placements.size());
-    long fence = clusterState.fenceToken(machine);
+    long fence = cluster.fenceToken(machine);
     machine.session.onRestart(fence);
     reportHandler.handle(machine, report);
     fenceRaiser.raise(machine);
--- a/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
@@ -12,17 +12,17 @@
 final class HeartbeatHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
-  private final ClusterState clusterState;
+  private final ClusterState cluster;
   private final ReportHandler reportHandler;
   private final WorkerOrders workerOrders;
   private final MachineProbe probe;
 
   HeartbeatHandler(
-      ClusterState clusterState,
+      ClusterState cluster,
       ReportHandler reportHandler,
       WorkerOrders workerOrders,
       MachineProbe probe) {
-    this.clusterState = clusterState;
+    this.cluster = cluster;
     this.reportHandler = reportHandler;
     this.workerOrders = workerOrders;
     this.probe = probe;
@@ -33,7 +33,7 @@
    * has already seen a fence above ours.
    */
   ObjectNode answer(Machine machine, WorkerReport report) {
-    long fence = clusterState.fenceToken(machine);
+    long fence = cluster.fenceToken(machine);
     if (report.fence() > fence) {
       LOG.info(
           "host {} has seen fence {} above our fence {}: another controller acts for it",
@@ -60,8 +60,7 @@
       return Order.body(fence, List.of());
     }
     boolean missedAnswer =
-        machine.session.hasMissedOurAnswer(
-            report, clusterState.now(), clusterState.settings.leaseS() * 1000);
+        machine.session.hasMissedOurAnswer(report, cluster.now(), cluster.settings.leaseS() * 1000);
     long previouslyHeardMs = machine.session.lastHeardMs();
     // The worker has already processed or lost the previous answer, as it has only one report in
     // flight at a time. An older report that arrives late says nothing about the answer to a newer
@@ -77,7 +76,7 @@
     }
     List<Order> orders = workerOrders.forMachine(machine, fence, false);
     boolean hasStarts = orders.stream().anyMatch(order -> order.verb().equals(Wire.RUN));
-    machine.session.onAnswered(fence, hasStarts, clusterState.now());
+    machine.session.onAnswered(fence, hasStarts, cluster.now());
     return Order.body(fence, orders);
   }
 
--- a/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
@@ -19,7 +19,7 @@
   private static final int MISDIRECTED = 421;
   private static final byte[] EMPTY_BODY = new byte[0];
 
-  private final ClusterState clusterState;
+  private final ClusterState cluster;
   private final Membership membership;
   private final HeartbeatHandler heartbeatHandler;
   private final FenceRaiser fenceRaiser;
@@ -32,12 +32,12 @@
   private final List<PendingHeartbeat> pendingHeartbeats = new ArrayList<>();
 
   HeartbeatRouter(
-      ClusterState clusterState,
+      ClusterState cluster,
       Membership membership,
       WorkerProtocol workerProtocol,
       MachineDiscovery discovery,
       ProxyOwner proxyOwner) {
-    this.clusterState = clusterState;
+    this.cluster = cluster;
     this.membership = membership;
     this.heartbeatHandler = workerProtocol.heartbeats;
     this.fenceRaiser = workerProtocol.fences;
@@ -50,25 +50,25 @@
    * redirect to the owner.
    */
   void answer(WorkerReport report, Responder out) {
-    answer(report, out, clusterState.now());
+    answer(report, out, cluster.now());
   }
 
   private void answer(WorkerReport report, Responder out, long receivedAt) {
-    if (!clusterState.feed.synced()) {
+    if (!cluster.feed.synced()) {
       respondUnavailable(UnavailableCause.NOT_SYNCED, out);
       return;
     }
-    BlockIndex.Block block = clusterState.blocks.blockOf(report.host());
+    BlockIndex.Block block = cluster.blocks.blockOf(report.host());
     if (block == null) {
       handleUnknownMachine(report, out);
       return;
     }
     String shard = block.record().shard();
-    Machine machine = clusterState.machines.get(report.host());
-    if (clusterState.owns(shard) && machine != null) {
+    Machine machine = cluster.machines.get(report.host());
+    if (cluster.owns(shard) && machine != null) {
       // A cancellation that was reported to a user may not be known here. Renewing the lease could
       // let its tasks run beyond the time within which a cancelled job must end.
-      if (membership.cancellationLagMs() > clusterState.maxCancellationLagMs()) {
+      if (membership.cancellationLagMs() > cluster.maxCancellationLagMs()) {
         respondUnavailable(UnavailableCause.UNSURE_OF_CANCELS, out);
         return;
       }
@@ -77,13 +77,13 @@
         out.send(200, Cbor.bytes(answer), 0);
         return;
       }
-      clusterState.feed.barrier(ok -> fenceRaiser.raiseAbove(report.host(), report.fence()));
+      cluster.feed.barrier(ok -> fenceRaiser.raiseAbove(report.host(), report.fence()));
     }
     if (proxyOwner.canAnswer(report, block)) {
       out.send(200, Cbor.bytes(proxyOwner.answer(report)), 0);
       return;
     }
-    if (clusterState.owns(shard) && machine != null) {
+    if (cluster.owns(shard) && machine != null) {
       out.send(MISDIRECTED, Cbor.bytes(Cbor.map()), 0);
       return;
     }
@@ -92,12 +92,12 @@
       return;
     }
     String owner = membership.ownerOf(shard);
-    boolean ownedByPeer = owner != null && !owner.equals(clusterState.settings.node());
-    if (ownedByPeer && receivedAt == clusterState.now()) {
-      clusterState.endpoints.put(report.host(), report.endpoint());
+    boolean ownedByPeer = owner != null && !owner.equals(cluster.settings.node());
+    if (ownedByPeer && receivedAt == cluster.now()) {
+      cluster.endpoints.put(report.host(), report.endpoint());
       if (membership.recordRedirect(report.host(), shard)) {
         StatusQuery.query(
-            clusterState.env,
+            cluster.env,
             report.host(),
             report.endpoint(),
             answer -> {
@@ -107,8 +107,7 @@
             });
       }
     }
-    if (membership.isOwnerChanging(shard)
-        && clusterState.now() - receivedAt < Constants.HELLO_WAIT_MS) {
+    if (membership.isOwnerChanging(shard) && cluster.now() - receivedAt < Constants.HELLO_WAIT_MS) {
       // A redirect to a controller that is gone would cost the worker five seconds, and the worker
       // might be sent back here.
       pendingHeartbeats.add(new PendingHeartbeat(report, out, receivedAt));
@@ -118,7 +117,7 @@
   }
 
   private void respondUnavailable(UnavailableCause cause, Responder out) {
-    clusterState.metrics.countUnavailable(Metrics.RequestType.WORKER, cause);
+    cluster.metrics.countUnavailable(Metrics.RequestType.WORKER, cause);
     out.send(503, EMPTY_BODY, 0);
   }
 
--- a/src/main/java/dunlincroft/coordination/JobService.java
+++ b/src/main/java/dunlincroft/coordination/JobService.java
@@ -69,14 +69,14 @@
     }
   }
 
-  private final ClusterState clusterState;
+  private final ClusterState cluster;
   private final Membership membership;
   private final Admission admission;
 
-  JobService(ClusterState clusterState, Membership membership) {
-    this.clusterState = clusterState;
+  JobService(ClusterState cluster, Membership membership) {
+    this.cluster = cluster;
     this.membership = membership;
-    admission = new Admission(clusterState.settings.node(), clusterState.settings::weight);
+    admission = new Admission(cluster.settings.node(), cluster.settings::weight);
   }
 
   /** Decides which submissions are admitted while more arrive than can be accepted. */
@@ -86,12 +86,10 @@
 
   /** Why no request can be served at present; null if requests can be served. */
   private UnavailableCause unavailableCause() {
-    if (!clusterState.feed.synced()) {
+    if (!cluster.feed.synced()) {
       return UnavailableCause.NOT_SYNCED;
     }
-    return clusterState.feed.stalenessMs() < Constants.STALE_MS
-        ? null
-        : UnavailableCause.OUT_OF_TOUCH;
+    return cluster.feed.stalenessMs() < Constants.STALE_MS ? null : UnavailableCause.OUT_OF_TOUCH;
   }
 
   /** Wraps a consumer so that UNAVAILABLE responses are counted by request type and cause. */
@@ -99,7 +97,7 @@
       Metrics.RequestType type, Consumer<Response> then) {
     return response -> {
       if (response.code == ResultCode.UNAVAILABLE) {
-        clusterState.metrics.countUnavailable(type, response.cause);
+        cluster.metrics.countUnavailable(type, response.cause);
       }
       then.accept(response);
     };
@@ -121,7 +119,7 @@
       then.accept(Response.unavailable(ref, unavailableCause));
       return;
     }
-    if (clusterState.jobIndex.get(ref) != null) {
+    if (cluster.jobIndex.get(ref) != null) {
       readState(ref, then);
       return;
     }
@@ -149,20 +147,18 @@
   private void create(JobSpec spec, String owner, Consumer<Response> then) {
     String ref = spec.ref();
     ObjectNode record =
-        JobIndex.newRecord(
-            spec, owner, clusterState.settings.pageTasks(), clusterState.env.wallMillis());
+        JobIndex.newRecord(spec, owner, cluster.settings.pageTasks(), cluster.env.wallMillis());
     boolean isProd = spec.rank() == JobSpec.Rank.PROD;
     Urgency urgency = isProd ? Urgency.ACCEPT_PROD : Urgency.ACCEPT;
     TrafficClass trafficClass = new TrafficClass(spec.owner(), spec.jobclass(), isProd);
     Admission.Verdict admissionDecision =
-        admission.offer(
-            ref, trafficClass, clusterState.store.expectedWaitMs(urgency, 1), clusterState.now());
+        admission.offer(ref, trafficClass, cluster.store.expectedWaitMs(urgency, 1), cluster.now());
     if (!admissionDecision.admitted()) {
       then.accept(
           Response.retryAfter(ref, UnavailableCause.NO_TURN, admissionDecision.retryAfterS()));
       return;
     }
-    clusterState.store.commit(
+    cluster.store.commit(
         urgency,
         new Txn()
             .guard(Wire.key(Replica.JOBS, ref), 0)
@@ -190,7 +186,7 @@
                     Response.retryAfter(
                         ref,
                         UnavailableCause.NO_BUDGET,
-                        admission.retryLater(ref, trafficClass, clusterState.now())));
+                        admission.retryLater(ref, trafficClass, cluster.now())));
             default -> then.accept(Response.unavailable(ref, UnavailableCause.NO_ANSWER));
           }
         });
@@ -201,24 +197,24 @@
    * while no machine types are known.
    */
   private ResultCode validate(JobSpec spec) {
-    Settings.Team team = clusterState.settings.teams().get(spec.owner());
+    Settings.Team team = cluster.settings.teams().get(spec.owner());
     if (team == null) {
       return ResultCode.IMPOSSIBLE;
     }
     if (!spec.room().times(spec.daemon() ? spec.pieces() : 1).fits(team.limit())) {
       return ResultCode.IMPOSSIBLE;
     }
-    if (clusterState.machineTypes.isEmpty()) {
+    if (cluster.machineTypes.isEmpty()) {
       return ResultCode.UNAVAILABLE;
     }
-    return clusterState.allowedTypes(spec).isEmpty() ? ResultCode.IMPOSSIBLE : ResultCode.CREATED;
+    return cluster.allowedTypes(spec).isEmpty() ? ResultCode.IMPOSSIBLE : ResultCode.CREATED;
   }
 
   // ---- look up ----
 
   /** The response for a job whose final state the replica holds, else null. */
   private Response endedResponse(String ref) {
-    Item item = clusterState.replica.get(Replica.ENDED, ref);
+    Item item = cluster.replica.get(Replica.ENDED, ref);
     return item == null ? null : endedResponse(ref, item.data(), item.stamp());
   }
 
@@ -255,8 +251,7 @@
     readState(
         ref,
         response -> {
-          if (response.code != ResultCode.NOT_FOUND
-              || !clusterState.replica.hasEvictedFinalStates()) {
+          if (response.code != ResultCode.NOT_FOUND || !cluster.replica.hasEvictedFinalStates()) {
             then.accept(response);
             return;
           }
@@ -275,7 +270,7 @@
 
   /** Reads the final state of a job that the replica has evicted. */
   private void lookUpInStore(String kind, String ref, Consumer<Response> then) {
-    clusterState.store.get(
+    cluster.store.get(
         Wire.key(kind, ref),
         answer -> {
           if (answer.status() == 404) {
@@ -291,15 +286,15 @@
 
   /** Reports the state according to the replica after a read barrier. */
   private void readState(String ref, Consumer<Response> then) {
-    clusterState.feed.barrier(
+    cluster.feed.barrier(
         ok -> {
           if (!ok) {
             then.accept(Response.unavailable(ref, UnavailableCause.NO_BARRIER));
             return;
           }
           Response endedJob = endedResponse(ref);
-          JobIndex.Job job = clusterState.jobIndex.get(ref);
-          Item cancel = clusterState.replica.get(Replica.CANCELS, ref);
+          JobIndex.Job job = cluster.jobIndex.get(ref);
+          Item cancel = cluster.replica.get(Replica.CANCELS, ref);
           if (endedJob != null) {
             then.accept(endedJob);
           } else if (job == null) {
@@ -340,10 +335,10 @@
             then.accept(response);
             return;
           }
-          clusterState.store.commit(
+          cluster.store.commit(
               Urgency.CANCEL,
               new Txn()
-                  .guard(Wire.key(Replica.JOBS, ref), clusterState.replica.stamp(Replica.JOBS, ref))
+                  .guard(Wire.key(Replica.JOBS, ref), cluster.replica.stamp(Replica.JOBS, ref))
                   .guard(Wire.key(Replica.CANCELS, ref), 0)
                   .put(Wire.key(Replica.CANCELS, ref), Cbor.map()),
               result -> {
--- a/src/main/java/dunlincroft/coordination/PlacementLog.java
+++ b/src/main/java/dunlincroft/coordination/PlacementLog.java
@@ -33,14 +33,14 @@
 final class PlacementLog {
   private static final Logger LOG = LoggerFactory.getLogger(PlacementLog.class);
 
-  private final ClusterState clusterState;
+  private final ClusterState cluster;
   private final StartConditions startConditions;
   private final Set<JobRun> dirtyJobs = new LinkedHashSet<>();
   private final Map<String, ShardLog> logs = new HashMap<>();
   private Consumer<Collection<Machine>> recordedListener = machines -> {};
 
-  PlacementLog(ClusterState clusterState, StartConditions startConditions) {
-    this.clusterState = clusterState;
+  PlacementLog(ClusterState cluster, StartConditions startConditions) {
+    this.cluster = cluster;
     this.startConditions = startConditions;
   }
 
@@ -51,7 +51,7 @@
 
   /** Marks the state of a task as changed. A start makes the changes of its job urgent. */
   void markDirty(JobRun job, int task, boolean isStart) {
-    job.markDirty(task, clusterState.now(), isStart);
+    job.markDirty(task, cluster.now(), isStart);
     dirtyJobs.add(job);
   }
 
@@ -62,7 +62,7 @@
    * would run twice.
    */
   private boolean isCurrentRun(JobRun job) {
-    return clusterState.jobs.get(job.id) == job;
+    return cluster.jobs.get(job.id) == job;
   }
 
   /**
@@ -87,13 +87,12 @@
   /** Discards the state of jobs and shards that this controller no longer owns. */
   void discardUnowned() {
     dirtyJobs.removeIf(job -> !isCurrentRun(job));
-    logs.values()
-        .removeIf(log -> clusterState.ownedShards.getLong(log.shard) != log.ownershipStamp);
+    logs.values().removeIf(log -> cluster.ownedShards.getLong(log.shard) != log.ownershipStamp);
   }
 
   private boolean isCurrentLog(ShardLog log) {
     return logs.get(log.shard) == log
-        && clusterState.ownedShards.getLong(log.shard) == log.ownershipStamp;
+        && cluster.ownedShards.getLong(log.shard) == log.ownershipStamp;
   }
 
   /**
@@ -101,8 +100,8 @@
    * enough.
    */
   void flush() {
-    long now = clusterState.now();
-    for (JobRun job : clusterState.jobs.values()) {
+    long now = cluster.now();
+    for (JobRun job : cluster.jobs.values()) {
       withdrawUnsent(job);
       if (!job.finishing && (job.isComplete() || (job.cancelled && job.placed.isEmpty()))) {
         recordEnd(job);
@@ -110,10 +109,10 @@
     }
     dirtyJobs.removeIf(job -> job.record.dirtySince < 0 || !isCurrentRun(job));
     int backlog = 0;
-    for (String shard : List.copyOf(clusterState.ownedShards.keySet())) {
-      ShardLog log = logs.computeIfAbsent(shard, s -> new ShardLog(clusterState, s));
-      if (log.ownershipStamp != clusterState.ownedShards.getLong(shard)) {
-        log = new ShardLog(clusterState, shard);
+    for (String shard : List.copyOf(cluster.ownedShards.keySet())) {
+      ShardLog log = logs.computeIfAbsent(shard, s -> new ShardLog(cluster, s));
+      if (log.ownershipStamp != cluster.ownedShards.getLong(shard)) {
+        log = new ShardLog(cluster, shard);
         logs.put(shard, log);
       }
       ShardLog dueLog = log;
@@ -121,7 +120,7 @@
       if (log.writeInFlight) {
         continue;
       }
-      boolean hasWriteBudget = clusterState.store.availableWrites() > 0;
+      boolean hasWriteBudget = cluster.store.availableWrites() > 0;
       boolean startsDue =
           jobsToWrite.stream()
               .anyMatch(
@@ -139,7 +138,7 @@
         checkpointPages(log);
       }
     }
-    clusterState.store.setBacklog(backlog);
+    cluster.store.setBacklog(backlog);
   }
 
   private static boolean isProd(JobRun job) {
@@ -179,7 +178,7 @@
   /** The oldest log entry that some page of the shard does not include. */
   private long oldestUncoveredEntry(String shard) {
     long oldest = Long.MAX_VALUE;
-    for (JobRun job : clusterState.jobs.values()) {
+    for (JobRun job : cluster.jobs.values()) {
       if (job.shard.equals(shard)) {
         oldest = Math.min(oldest, job.record.oldestUncoveredEntry());
       }
@@ -191,8 +190,8 @@
     if (!log.hasCurrentSlot()) {
       log.advanceSlot(oldestUncoveredEntry(log.shard));
     }
-    int maxSlotBytes = clusterState.settings.logBytes();
-    int maxGuards = Constants.GUARDS_PER_OP * clusterState.settings.txnOps() - 2;
+    int maxSlotBytes = cluster.settings.logBytes();
+    int maxGuards = Constants.GUARDS_PER_OP * cluster.settings.txnOps() - 2;
     long entryNumber = log.nextEntryNumber();
     List<JobUpdate> updates = new ArrayList<>();
     List<ObjectNode> entries = new ArrayList<>();
@@ -212,7 +211,7 @@
           usedBytes = log.currentSlotBytes();
         }
         if (usedBytes + entryBytes > maxSlotBytes) {
-          update = job.record.nextUpdate(clusterState.settings.logTasks());
+          update = job.record.nextUpdate(cluster.settings.logTasks());
           entry = update.toLogEntry(entryNumber);
           entryBytes = entry.toString().length() + 1;
         }
@@ -245,7 +244,7 @@
     updates.forEach(jobUpdate -> jobUpdate.job().record.beginUpdate(jobUpdate));
     log.writeInFlight = true;
     log.lastWriteAt = now;
-    clusterState.store.commit(
+    cluster.store.commit(
         cancelKeys.isEmpty() ? Urgency.LAZY : Urgency.START,
         txn,
         result -> {
@@ -279,7 +278,7 @@
             .forEach(placement -> affectedMachines.add(placement.machine));
       }
     }
-    clusterState.placementDue = true;
+    cluster.placementDue = true;
     recordedListener.accept(affectedMachines);
   }
 
@@ -290,7 +289,7 @@
     log.writeInFlight = false;
     for (JobUpdate jobUpdate : updates) {
       if (isCurrentRun(jobUpdate.job())) {
-        jobUpdate.job().record.abortUpdate(clusterState.now());
+        jobUpdate.job().record.abortUpdate(cluster.now());
         dirtyJobs.add(jobUpdate.job());
       }
     }
@@ -303,7 +302,7 @@
    * new owner continues our entry numbers, so an entry with our number may be the new owner's.
    */
   private void reread(ShardLog log, long entryNumber, JsonNode written, List<JobUpdate> updates) {
-    clusterState.store.get(
+    cluster.store.get(
         log.currentSlotKey(),
         answer -> {
           if (!isCurrentLog(log)) {
@@ -324,8 +323,7 @@
           } catch (Malformed e) {
             LOG.info("malformed answer for log slot {}: {}", log.currentSlotKey(), e.getMessage());
           }
-          clusterState.env.after(
-              Constants.REREAD_MS, () -> reread(log, entryNumber, written, updates));
+          cluster.env.after(Constants.REREAD_MS, () -> reread(log, entryNumber, written, updates));
         });
   }
 
@@ -337,11 +335,11 @@
    */
   private void checkpointPages(ShardLog log) {
     long oldest = oldestUncoveredEntry(log.shard);
-    if (log.usedSlots(oldest) <= clusterState.settings.logSlots()) {
+    if (log.usedSlots(oldest) <= cluster.settings.logSlots()) {
       return;
     }
     List<JobPage> candidates = new ArrayList<>();
-    for (JobRun job : clusterState.jobs.values()) {
+    for (JobRun job : cluster.jobs.values()) {
       if (job.shard.equals(log.shard) && !job.finishing) {
         job.record.knownPages().stream()
             .filter(candidate -> candidate.firstUncoveredEntry > 0 && !candidate.outcomeUnknown)
@@ -349,7 +347,7 @@
       }
     }
     candidates.sort(Comparator.comparingLong(page -> page.firstUncoveredEntry));
-    int maxPages = Math.min(clusterState.store.availableWrites(), clusterState.settings.txnOps());
+    int maxPages = Math.min(cluster.store.availableWrites(), cluster.settings.txnOps());
     Txn txn = new Txn().guard(Wire.key(Replica.SHARDS, log.shard), log.ownershipStamp);
     List<JobPage> pages = new ArrayList<>();
     int txnBytes = 0;
@@ -368,7 +366,7 @@
     }
     log.writeInFlight = true;
     pages.forEach(page -> page.outcomeUnknown = true);
-    clusterState.store.commit(
+    cluster.store.commit(
         Urgency.LAZY,
         txn,
         result -> {
@@ -392,14 +390,14 @@
     String cancelKeyPrefix = Wire.key(Replica.CANCELS, "");
     for (String key : failedKeys) {
       if (key.startsWith(cancelKeyPrefix)) {
-        JobRun job = clusterState.jobs.get(key.substring(cancelKeyPrefix.length()));
+        JobRun job = cluster.jobs.get(key.substring(cancelKeyPrefix.length()));
         if (job != null) {
           job.cancel();
         }
       }
     }
     LOG.info("write refused, failed guards: {}; reading the latest changes", failedKeys);
-    clusterState.feed.barrier(ok -> clusterState.placementDue = true);
+    cluster.feed.barrier(ok -> cluster.placementDue = true);
   }
 
   /**
@@ -429,14 +427,14 @@
    */
   private void reread(JobPage page) {
     page.outcomeUnknown = true;
-    clusterState.store.get(
+    cluster.store.get(
         Wire.key(Replica.PAGES, page.name()),
         answer -> {
           if (!isCurrentRun(page.job())) {
             return;
           }
           if (answer.status() != 200 && answer.status() != 404) {
-            clusterState.env.after(Constants.REREAD_MS, () -> reread(page));
+            cluster.env.after(Constants.REREAD_MS, () -> reread(page));
             return;
           }
           try {
@@ -444,7 +442,7 @@
             page.outcomeUnknown = false;
           } catch (Malformed e) {
             LOG.info("malformed answer for page {}: {}", page.name(), e.getMessage());
-            clusterState.env.after(Constants.REREAD_MS, () -> reread(page));
+            cluster.env.after(Constants.REREAD_MS, () -> reread(page));
           }
         });
   }
@@ -461,7 +459,7 @@
     List<JobPage> storedPages =
         pages.stream()
             .filter(page -> page.stamp > 0)
-            .limit(clusterState.settings.txnOps() - Constants.END_OPS)
+            .limit(cluster.settings.txnOps() - Constants.END_OPS)
             .toList();
     job.finishing = true;
     ObjectNode endRecord =
@@ -472,9 +470,9 @@
     String cancelKey = Wire.key(Replica.CANCELS, job.id);
     Txn txn =
         new Txn()
-            .guard(Wire.key(Replica.SHARDS, job.shard), clusterState.ownedShards.getLong(job.shard))
-            .guard(jobKey, clusterState.replica.stamp(Replica.JOBS, job.id))
-            .guard(cancelKey, clusterState.replica.stamp(Replica.CANCELS, job.id))
+            .guard(Wire.key(Replica.SHARDS, job.shard), cluster.ownedShards.getLong(job.shard))
+            .guard(jobKey, cluster.replica.stamp(Replica.JOBS, job.id))
+            .guard(cancelKey, cluster.replica.stamp(Replica.CANCELS, job.id))
             .put(jobKey, endRecord);
     if (isCancelled) {
       txn.remove(cancelKey);
@@ -483,7 +481,7 @@
       String key = Wire.key(Replica.PAGES, page.name());
       txn.guard(key, page.stamp).remove(key);
     }
-    clusterState.store.commit(
+    cluster.store.commit(
         Urgency.FINISH,
         txn,
         result -> {
@@ -492,7 +490,7 @@
                 "job {} is {} after {} ms",
                 job.id,
                 isCancelled ? Wire.WITHDRAWN : Wire.DONE,
-                clusterState.env.wallMillis() - job.acceptedAt);
+                cluster.env.wallMillis() - job.acceptedAt);
             dirtyJobs.remove(job);
             return;
           }
@@ -502,9 +500,9 @@
               result.outcome(),
               result.failedKeys());
           storedPages.forEach(this::reread);
-          clusterState.feed.barrier(
+          cluster.feed.barrier(
               ok -> {
-                clusterState.onCancellation(job.id);
+                cluster.onCancellation(job.id);
                 job.finishing = false;
               });
         });
@@ -515,17 +513,17 @@
    */
   void removeOrphanedPages() {
     Txn txn = new Txn();
-    for (String name : clusterState.replica.items(Replica.PAGES).keySet()) {
+    for (String name : cluster.replica.items(Replica.PAGES).keySet()) {
       String id = name.substring(0, name.lastIndexOf('/'));
-      if (clusterState.replica.get(Replica.JOBS, id) == null
-          && clusterState.replica.get(Replica.ENDED, id) != null
-          && txn.size() < clusterState.settings.txnOps()) {
+      if (cluster.replica.get(Replica.JOBS, id) == null
+          && cluster.replica.get(Replica.ENDED, id) != null
+          && txn.size() < cluster.settings.txnOps()) {
         String key = Wire.key(Replica.PAGES, name);
-        txn.guard(key, clusterState.replica.stamp(Replica.PAGES, name)).remove(key);
+        txn.guard(key, cluster.replica.stamp(Replica.PAGES, name)).remove(key);
       }
     }
     if (txn.size() > 0) {
-      clusterState.store.commit(
+      cluster.store.commit(
           Urgency.LAZY,
           txn,
           result -> LOG.debug("removal of pages of ended jobs: {}", result.outcome()));
--- a/src/main/java/dunlincroft/coordination/ProxyOwner.java
+++ b/src/main/java/dunlincroft/coordination/ProxyOwner.java
@@ -30,7 +30,7 @@
  * fence.
  */
 final class ProxyOwner {
-  private final ClusterState clusterState;
+  private final ClusterState cluster;
   private final Membership membership;
 
   /**
@@ -39,15 +39,15 @@
    */
   private final Map<String, Long> cancelledJobs = new HashMap<>();
 
-  ProxyOwner(ClusterState clusterState, Membership membership) {
-    this.clusterState = clusterState;
+  ProxyOwner(ClusterState cluster, Membership membership) {
+    this.cluster = cluster;
     this.membership = membership;
   }
 
   /** Handles a cancellation that a peer reported. */
   void onCancelled(String job) {
-    cancelledJobs.values().removeIf(receivedAt -> receivedAt < clusterState.feed.currentAsOf());
-    cancelledJobs.put(job, clusterState.now());
+    cancelledJobs.values().removeIf(receivedAt -> receivedAt < cluster.feed.currentAsOf());
+    cancelledJobs.put(job, cluster.now());
   }
 
   /**
@@ -59,9 +59,9 @@
       return false;
     }
     String shard = block.record().shard();
-    long recordedFence = Math.max(block.stamp(), clusterState.replica.stamp(Replica.SHARDS, shard));
+    long recordedFence = Math.max(block.stamp(), cluster.replica.stamp(Replica.SHARDS, shard));
     boolean hasNoOtherOwner = report.fence() > recordedFence || !membership.isOwnerAlive(shard);
-    return hasNoOtherOwner && membership.cancellationLagMs() <= clusterState.maxCancellationLagMs();
+    return hasNoOtherOwner && membership.cancellationLagMs() <= cluster.maxCancellationLagMs();
   }
 
   /**
@@ -78,7 +78,7 @@
    * heartbeats of its workers.
    */
   private boolean isCommonOutage() {
-    return clusterState.feed.stalenessMs() > Constants.STALE_MS && membership.isCommonOutage();
+    return cluster.feed.stalenessMs() > Constants.STALE_MS && membership.isCommonOutage();
   }
 
   /** The answer to a worker: orders to stop cancelled tasks. All other tasks continue. */
@@ -89,13 +89,13 @@
             .limit(Constants.MAX_ORDERS)
             .map(task -> Order.kill(task.id(), task.attempt(), 0))
             .toList();
-    clusterState.metrics.count(Metrics.Event.STOOD_IN);
+    cluster.metrics.count(Metrics.Event.STOOD_IN);
     return Order.body(Math.max(report.fence(), membership.highestCancellationRevision()), orders);
   }
 
   private boolean isCancelled(Piece task) {
     return cancelledJobs.containsKey(task.job())
-        || clusterState.replica.get(Replica.CANCELS, task.job()) != null
-        || clusterState.replica.get(Replica.ENDED, task.job()) != null;
+        || cluster.replica.get(Replica.CANCELS, task.job()) != null
+        || cluster.replica.get(Replica.ENDED, task.job()) != null;
   }
 }
--- a/src/main/java/dunlincroft/coordination/ReportHandler.java
+++ b/src/main/java/dunlincroft/coordination/ReportHandler.java
@@ -16,13 +16,13 @@
 final class ReportHandler {
   private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
 
-  private final ClusterState clusterState;
+  private final ClusterState cluster;
   private final PlacementLog placementLog;
   private final FaultAttribution faultAttribution;
 
   ReportHandler(
-      ClusterState clusterState, PlacementLog placementLog, FaultAttribution faultAttribution) {
-    this.clusterState = clusterState;
+      ClusterState cluster, PlacementLog placementLog, FaultAttribution faultAttribution) {
+    this.cluster = cluster;
     this.placementLog = placementLog;
     this.faultAttribution = faultAttribution;
   }
@@ -40,13 +40,13 @@
   private void onReachable(Machine machine) {
     switch (machine.session.state()) {
       case UNREPORTED, REACHABLE -> {}
-      case UNCERTAIN -> clusterState.placementDue = true;
+      case UNCERTAIN -> cluster.placementDue = true;
       case UNREACHABLE -> {
-        clusterState.placementDue = true;
+        cluster.placementDue = true;
         LOG.info(
             "host {} hears us again, after {} ms",
             machine.host,
-            clusterState.now() - machine.session.unreachableSinceMs());
+            cluster.now() - machine.session.unreachableSinceMs());
       }
     }
   }
@@ -60,10 +60,10 @@
           machine.typeLabel,
           machine.zone,
           machine.preemptible ? "spot" : "ordinary");
-      clusterState.placementDue = true;
+      cluster.placementDue = true;
     }
     onReachable(machine);
-    machine.session.onReport(report, clusterState.now());
+    machine.session.onReport(report, cluster.now());
     machine.endpoint = report.endpoint();
     if (report.warningS() != WorkerReport.NO_WARNING && machine.drainReason == null) {
       onReclaimNotice(machine, report.warningS());
@@ -77,7 +77,7 @@
         placement.inLastReport = true;
         updatePlacement(machine, placement, reportedTask);
       } else {
-        JobRun job = clusterState.jobs.get(reportedTask.job());
+        JobRun job = cluster.jobs.get(reportedTask.job());
         if (reportedTask.exited() && Wire.DONE.equals(reportedTask.cause()) && job != null) {
           onDoneByOlderAttempt(job, reportedTask.task());
         } else if (!reportedTask.exited() && job != null) {
@@ -95,7 +95,7 @@
       }
     }
     if (machine.hasNoTasks() && machine.idleSinceMs < 0) {
-      machine.idleSinceMs = clusterState.now();
+      machine.idleSinceMs = cluster.now();
     } else if (!machine.hasNoTasks()) {
       machine.idleSinceMs = -1;
     }
@@ -105,10 +105,10 @@
   private void onReclaimNotice(Machine machine, double warningS) {
     LOG.info("host {} will be reclaimed in {} s: draining", machine.host, warningS);
     machine.drainReason = "notice";
-    clusterState.placementDue = true;
+    cluster.placementDue = true;
     for (Placement placement : machine.placements.values()) {
       double remainingS =
-          placement.job.spec.expectS() - (clusterState.now() - placement.placedAtMs) / 1000.0;
+          placement.job.spec.expectS() - (cluster.now() - placement.placedAtMs) / 1000.0;
       // The machine may be reclaimed after only half of the announced time. Tasks that will not end
       // within that time are moved at once.
       if (remainingS > warningS / 2) {
@@ -126,10 +126,10 @@
     if (!reportedTask.exited()) {
       if (started && reportedTask.status().equals(Wire.RUNNING)) {
         machine.markImageCached(placement.job.spec.bundle());
-        placement.runningSinceMs = clusterState.now();
-        clusterState.metrics.recordStart(placement, clusterState.now());
+        placement.runningSinceMs = cluster.now();
+        cluster.metrics.recordStart(placement, cluster.now());
       } else if (reportedTask.status().equals(Wire.RUNNING)
-          && clusterState.now() - placement.runningSinceMs > Constants.RAN_MS) {
+          && cluster.now() - placement.runningSinceMs > Constants.RAN_MS) {
         faultAttribution.onRanWell(placement);
       }
       return;
@@ -147,8 +147,8 @@
       machine.failedJobs.clear();
       faultAttribution.onRanWell(placement);
       if (placement.runningSinceMs > 0) {
-        clusterState.conditions.onTaskFinished(
-            placement.job.spec, (clusterState.now() - placement.runningSinceMs) / 1000.0);
+        cluster.conditions.onTaskFinished(
+            placement.job.spec, (cluster.now() - placement.runningSinceMs) / 1000.0);
       }
       LOG.debug(
           "{} attempt {} is done on host {}",
@@ -158,7 +158,7 @@
       placement.job.removePlacement(placement);
       placement.job.markDone(placement.task);
       placementLog.markDirty(placement.job, placement.task, false);
-      clusterState.placementDue = true;
+      cluster.placementDue = true;
     } else {
       if (machine.session.hasUnresolvedCommand()) {
         // A command without an answer could start this attempt again if the worker restarts. The
@@ -166,7 +166,7 @@
         return;
       }
       if (cause.equals(Wire.FULL)) {
-        machine.avoidUntilMs = clusterState.now() + Constants.DOUBT_MS;
+        machine.avoidUntilMs = cluster.now() + Constants.DOUBT_MS;
       } else if (!cause.equals(Wire.STOPPED)) {
         faultAttribution.onFailure(machine, placement);
       }
@@ -203,6 +203,6 @@
         reason);
     placement.job.removePlacement(placement);
     placementLog.markDirty(placement.job, placement.task, false);
-    clusterState.placementDue = true;
+    cluster.placementDue = true;
   }
 }
