--- a/src/main/java/dunlincroft/Main.java
+++ b/src/main/java/dunlincroft/Main.java
@@ -3,7 +3,7 @@
 import dunlincroft.coordination.Controller;
 import dunlincroft.front.HttpFront;
 import dunlincroft.operators.Policy;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.transport.HttpServer;
 import dunlincroft.transport.NettyEnv;
 import dunlincroft.transport.PeerLink;
@@ -82,13 +82,13 @@
   private static boolean running;
 
   private interface Parser<T> {
-    T parse(String text) throws Malformed;
+    T parse(String text) throws MalformedException;
   }
 
   private static <T> T read(String what, Path file, Parser<T> parser) {
     try {
       return parser.parse(Files.readString(file));
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       System.err.println(what + " " + file + ": " + e.getMessage());
     } catch (IOException e) {
       System.err.println(what + " " + file + " cannot be read: " + e);
@@ -145,7 +145,7 @@
       System.err.println("cannot listen: " + e.getMessage());
       return 1;
     }
-    env.enter(controller::start);
+    env.runLocked(controller::start);
     log.info(
         "node {} of site {} listens at {}", settings.node(), settings.site(), settings.listen());
     running = true;
--- a/src/main/java/dunlincroft/OperatorCommands.java
+++ b/src/main/java/dunlincroft/OperatorCommands.java
@@ -9,7 +9,7 @@
 import dunlincroft.documents.RateLimitedStateClient;
 import dunlincroft.migration.MigrationLedger;
 import dunlincroft.protocol.Cbor;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.Wire;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -31,7 +31,8 @@
   private OperatorCommands() {}
 
   private interface Work {
-    void run() throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Conflict;
+    void run()
+        throws MalformedException, IOException, DocumentStore.Unreachable, DocumentStore.Conflict;
   }
 
   /** 0 when it went well, 2 for a fault in what was given, 1 for all else; faults go to stderr. */
@@ -39,7 +40,7 @@
     try {
       work.run();
       return 0;
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       System.err.println(e.getMessage());
       return FAULTY;
     } catch (IOException e) {
@@ -51,12 +52,13 @@
     }
   }
 
-  private static void check(String name, String text) throws Malformed {
+  private static void check(String name, String text) throws MalformedException {
     switch (name) {
       case SettlementCalendar.DOCUMENT -> Plan.parse(text);
       case MigrationLedger.DOCUMENT -> MigrationLedger.check(text);
       default ->
-          throw new Malformed("there is no document " + name + "; there are: calendar, migration");
+          throw new MalformedException(
+              "there is no document " + name + "; there are: calendar, migration");
     }
   }
 
@@ -65,35 +67,36 @@
     @Option(names = "--config", required = true, description = "The platform's settings file.")
     private Path config;
 
-    private Settings settings() throws Malformed, IOException {
+    private Settings settings() throws MalformedException, IOException {
       return Settings.parse(Files.readString(config));
     }
 
-    RateLimitedStateClient service() throws Malformed, IOException {
+    RateLimitedStateClient service() throws MalformedException, IOException {
       return new RateLimitedStateClient(settings().state());
     }
 
-    DocumentStore store() throws Malformed, IOException {
+    DocumentStore store() throws MalformedException, IOException {
       Settings settings = settings();
       return new DocumentStore(
           service(), (int) (settings.valueKb() * Constants.KIB), settings.txnOps());
     }
 
     abstract void work()
-        throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Conflict;
+        throws MalformedException, IOException, DocumentStore.Unreachable, DocumentStore.Conflict;
 
     @Override
     public Integer call() {
       return done(this::work);
     }
 
-    static Version named(List<Version> versions, String name, Long number) throws Malformed {
+    static Version named(List<Version> versions, String name, Long number)
+        throws MalformedException {
       return versions.stream()
           .filter(each -> number == null || each.number() == number)
           .reduce((a, b) -> b)
           .orElseThrow(
               () ->
-                  new Malformed(
+                  new MalformedException(
                       number == null
                           ? "there is no version of " + name
                           : "there is no version " + number + " of " + name));
@@ -142,7 +145,8 @@
     private String by = System.getProperty("user.name", "");
 
     @Override
-    void work() throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Conflict {
+    void work()
+        throws MalformedException, IOException, DocumentStore.Unreachable, DocumentStore.Conflict {
       String text = Files.readString(file);
       check(name, text);
       long number = store().put(name, text, by, System.currentTimeMillis());
@@ -163,7 +167,7 @@
     private Long number;
 
     @Override
-    void work() throws Malformed, IOException, DocumentStore.Unreachable {
+    void work() throws MalformedException, IOException, DocumentStore.Unreachable {
       DocumentStore store = store();
       System.out.print(store.text(name, named(store.history(name), name, number)));
     }
@@ -179,7 +183,7 @@
     private String name;
 
     @Override
-    void work() throws Malformed, IOException, DocumentStore.Unreachable {
+    void work() throws MalformedException, IOException, DocumentStore.Unreachable {
       for (Version version : store().history(name)) {
         System.out.println(
             version.number()
@@ -204,7 +208,8 @@
     private Long number;
 
     @Override
-    void work() throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Conflict {
+    void work()
+        throws MalformedException, IOException, DocumentStore.Unreachable, DocumentStore.Conflict {
       DocumentStore store = store();
       String text = store.text(name, named(store.history(name), name, number));
       check(name, text);
@@ -267,7 +272,8 @@
     private String by = System.getProperty("user.name", "");
 
     @Override
-    void work() throws Malformed, IOException, DocumentStore.Unreachable, DocumentStore.Conflict {
+    void work()
+        throws MalformedException, IOException, DocumentStore.Unreachable, DocumentStore.Conflict {
       String key = MigrationLedger.askKey(workload);
       store().create(workload, key, Cbor.map().put("ask", ask.name()).put("by", by));
       System.out.println("asked; see: migration history " + workload);
@@ -281,7 +287,7 @@
       description = "Prints where each workload stands.")
   static final class MigrationStatus extends Reaching {
     @Override
-    void work() throws Malformed, IOException, DocumentStore.Unreachable {
+    void work() throws MalformedException, IOException, DocumentStore.Unreachable {
       print(
           service(),
           Wire.key(Replica.MIGRATIONS, ""),
@@ -305,7 +311,7 @@
     private String workload;
 
     @Override
-    void work() throws Malformed, IOException, DocumentStore.Unreachable {
+    void work() throws MalformedException, IOException, DocumentStore.Unreachable {
       print(
           service(),
           Wire.key(Replica.MIGRATION_HISTORY, workload + "/"),
@@ -340,7 +346,7 @@
       description = "Prints the nights that the controllers share, with their phases.")
   static final class Status extends Reaching {
     @Override
-    void work() throws Malformed, IOException, DocumentStore.Unreachable {
+    void work() throws MalformedException, IOException, DocumentStore.Unreachable {
       print(
           service(),
           Wire.key(Replica.NIGHTS, ""),
--- a/src/main/java/dunlincroft/Rehearsal.java
+++ b/src/main/java/dunlincroft/Rehearsal.java
@@ -5,7 +5,7 @@
 import dunlincroft.front.HttpFront;
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.Wire;
 import dunlincroft.transport.Env;
 import dunlincroft.transport.HttpServer;
@@ -44,7 +44,7 @@
       """;
 
   @Override
-  public Integer call() throws InterruptedException, Malformed {
+  public Integer call() throws InterruptedException, MalformedException {
     Settings settings = Settings.parse(SETTINGS);
     NettyEnv env =
         new NettyEnv(SystemNanoClock.INSTANCE, SystemEpochClock.INSTANCE, settings.socketLimits());
@@ -59,7 +59,7 @@
             controller::onConnectionRefusal);
     Channel back = link.start(any, Map.of());
     link.start(any, Map.of("n", (InetSocketAddress) back.localAddress()));
-    env.enter(controller::start);
+    env.runLocked(controller::start);
     String address = "127.0.0.1:" + ((InetSocketAddress) server.localAddress()).getPort();
     ObjectNode job =
         Cbor.map()
@@ -81,7 +81,7 @@
             .put("fence", 0);
     report.putArray("pieces");
     CountDownLatch answered = new CountDownLatch(4);
-    env.enter(
+    env.runLocked(
         () -> {
           String one = Wire.SUBMISSIONS + "/run-1";
           byte[] body = Cbor.bytes(job);
@@ -93,7 +93,7 @@
               new Env.Call(address, "POST", Wire.SUBMISSIONS, body, CALL_MS),
               reply -> answered.countDown());
           env.call(
-              new Env.Call(address, "POST", Wire.HELLO, Cbor.bytes(report), CALL_MS),
+              new Env.Call(address, "POST", Wire.WORKER_HEARTBEAT, Cbor.bytes(report), CALL_MS),
               reply -> answered.countDown());
         });
     return answered.await(5 * CALL_MS, TimeUnit.MILLISECONDS) ? 0 : 1;
--- a/src/main/java/dunlincroft/Settings.java
+++ b/src/main/java/dunlincroft/Settings.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import dunlincroft.protocol.Fields;
-import dunlincroft.protocol.Malformed;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.MalformedException;
+import dunlincroft.protocol.Resources;
 import dunlincroft.transport.Addresses;
 import dunlincroft.transport.NettyEnv;
 import java.net.InetSocketAddress;
@@ -43,7 +43,7 @@
   public record Peer(String node, String site, InetSocketAddress address) {}
 
   /** A team's guarantee and limit. */
-  public record Team(String name, Room guarantee, Room limit) {}
+  public record Team(String name, Resources guarantee, Resources limit) {}
 
   private static final double NO_LIMIT = 1e9;
 
@@ -58,12 +58,12 @@
     return all == 0 ? 1 : Math.max(own / all, Constants.GUEST_WEIGHT);
   }
 
-  public static Settings parse(String json) throws Malformed {
+  public static Settings parse(String json) throws MalformedException {
     JsonNode root;
     try {
       root = new ObjectMapper().readTree(json);
     } catch (JsonProcessingException e) {
-      throw new Malformed(
+      throw new MalformedException(
           "not JSON at line "
               + e.getLocation().getLineNr()
               + ", column "
@@ -88,10 +88,11 @@
           "deployment.teams.",
           () -> {
             String name = Fields.text(team, "name");
-            Room guarantee =
-                Room.floor(
+            Resources guarantee =
+                Resources.roundedDown(
                     Fields.amountOr(team, "cpus", 0), Fields.amountOr(team, "gpus", 0), NO_LIMIT);
-            Room limit = Room.floor(limit(team, "cpus_max"), limit(team, "gpus_max"), NO_LIMIT);
+            Resources limit =
+                Resources.roundedDown(limit(team, "cpus_max"), limit(team, "gpus_max"), NO_LIMIT);
             return teams.put(name, new Team(name, guarantee, limit));
           });
     }
@@ -122,27 +123,28 @@
   }
 
   /** The end of a job must fit into one transaction: with less it would be tried for ever. */
-  private static int txnOps(JsonNode state) throws Malformed {
+  private static int txnOps(JsonNode state) throws MalformedException {
     double ops = positive(state, "deployment.state.", "txn_ops");
     if (ops < Constants.END_OPS) {
-      throw new Malformed("deployment.state.txn_ops must be at least " + Constants.END_OPS);
+      throw new MalformedException(
+          "deployment.state.txn_ops must be at least " + Constants.END_OPS);
     }
     return (int) ops;
   }
 
   private static double machineLimit(JsonNode deployment, String field, double preset)
-      throws Malformed {
-    if (Fields.absent(deployment, "machine_limits")) {
+      throws MalformedException {
+    if (Fields.isAbsent(deployment, "machine_limits")) {
       return preset;
     }
     JsonNode limits = map(deployment, "deployment.", "machine_limits");
-    return Fields.absent(limits, field)
+    return Fields.isAbsent(limits, field)
         ? preset
         : positive(limits, "deployment.machine_limits.", field);
   }
 
   /** 0 means that there is no limit. */
-  private static double limit(JsonNode team, String field) throws Malformed {
+  private static double limit(JsonNode team, String field) throws MalformedException {
     double limit = Fields.amountOr(team, field, 0);
     return limit == 0 ? NO_LIMIT : limit;
   }
@@ -150,9 +152,9 @@
   /** What the operators hope for of a class: all of a job's tasks done within this, in seconds. */
   public record Hope(String jobclass, double withinS) {}
 
-  private static List<Hope> hopes(JsonNode deployment) throws Malformed {
+  private static List<Hope> hopes(JsonNode deployment) throws MalformedException {
     List<Hope> hopes = new ArrayList<>();
-    if (!Fields.absent(deployment, "objectives")) {
+    if (!Fields.isAbsent(deployment, "objectives")) {
       for (JsonNode objective : Fields.list(deployment, "objectives")) {
         if ("finished".equals(Fields.text(objective, "kind"))) {
           hopes.add(
@@ -164,32 +166,33 @@
   }
 
   private interface Read<T> {
-    T get() throws Malformed;
+    T get() throws MalformedException;
   }
 
-  private static <T> T in(String path, Read<T> read) throws Malformed {
+  private static <T> T in(String path, Read<T> read) throws MalformedException {
     try {
       return read.get();
-    } catch (Malformed e) {
-      throw new Malformed(path + e.getMessage());
+    } catch (MalformedException e) {
+      throw new MalformedException(path + e.getMessage());
     }
   }
 
-  private static JsonNode map(JsonNode parent, String path, String field) throws Malformed {
+  private static JsonNode map(JsonNode parent, String path, String field)
+      throws MalformedException {
     JsonNode node = parent == null ? null : parent.get(field);
     if (node == null || !node.isObject()) {
-      throw new Malformed(path + field + " must be a map");
+      throw new MalformedException(path + field + " must be a map");
     }
     return node;
   }
 
   private static InetSocketAddress address(JsonNode map, String path, String field)
-      throws Malformed {
+      throws MalformedException {
     String text = in(path, () -> Fields.text(map, field));
     try {
       return Addresses.parse(text);
     } catch (IllegalArgumentException e) {
-      throw new Malformed(path + field + " is " + e.getMessage());
+      throw new MalformedException(path + field + " is " + e.getMessage());
     }
   }
 
@@ -197,17 +200,18 @@
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  private static double positive(JsonNode map, String path, String field) throws Malformed {
+  private static double positive(JsonNode map, String path, String field)
+      throws MalformedException {
     double value = in(path, () -> Fields.amount(map, field));
     if (value <= 0) {
-      throw new Malformed(path + field + " must be above 0");
+      throw new MalformedException(path + field + " must be above 0");
     }
     return value;
   }
 
   /** What connections the process may have, and who always gets one. */
-  public NettyEnv.Limits socketLimits() {
-    return new NettyEnv.Limits(
+  public NettyEnv.SocketLimits socketLimits() {
+    return new NettyEnv.SocketLimits(
         sockets, reportS * Constants.REPORT_LATEST, Set.copyOf(List.of(state, cloud)));
   }
 
--- a/src/main/java/dunlincroft/admission/Admission.java
+++ b/src/main/java/dunlincroft/admission/Admission.java
@@ -2,9 +2,9 @@
 
 import dunlincroft.Constants;
 import dunlincroft.protocol.Hashing;
-import dunlincroft.transport.Beat.Flowing;
-import dunlincroft.transport.Beat.Load;
-import dunlincroft.transport.Beat.Promise;
+import dunlincroft.transport.PeerHeartbeat.ClassDemand;
+import dunlincroft.transport.PeerHeartbeat.Load;
+import dunlincroft.transport.PeerHeartbeat.RetryReservation;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -96,8 +96,8 @@
   /** Takes in another controller's load and the reservations that it made. */
   public void loadReceived(String node, Load load, long nowMs) {
     snapshot.update(node, load, nowMs);
-    for (Promise promise : load.promises()) {
-      reservations.store(promise.job(), nowMs + promise.inMs(), promise.loose());
+    for (RetryReservation promise : load.retryReservations()) {
+      reservations.store(promise.jobHash(), nowMs + promise.dueInMs(), promise.tentative());
     }
   }
 
@@ -107,8 +107,8 @@
   }
 
   /** The classes with the highest demand; those that do not fit into a heartbeat are summed up. */
-  private List<Flowing> reportedClasses() {
-    List<Flowing> classes = new ArrayList<>();
+  private List<ClassDemand> reportedClasses() {
+    List<ClassDemand> classes = new ArrayList<>();
     states.forEach(
         (trafficClass, state) -> {
           double demanded =
@@ -116,23 +116,23 @@
                   state.requestRate, state.pendingRetries / (double) Constants.RETRY_AFTER_MOST_S);
           if (demanded > Constants.ASKED_LEAST) {
             classes.add(
-                new Flowing(
+                new ClassDemand(
                     trafficClass.team(), trafficClass.jobclass(), trafficClass.prod(), demanded));
           }
         });
-    classes.sort(Comparator.comparingDouble(Flowing::asked).reversed());
+    classes.sort(Comparator.comparingDouble(ClassDemand::demandRate).reversed());
     if (classes.size() <= Constants.BEAT_FLOWS) {
       return classes;
     }
-    List<Flowing> reported = new ArrayList<>(classes.subList(0, Constants.BEAT_FLOWS));
+    List<ClassDemand> reported = new ArrayList<>(classes.subList(0, Constants.BEAT_FLOWS));
     for (boolean prod : new boolean[] {true, false}) {
       double remainder =
           classes.stream()
               .skip(Constants.BEAT_FLOWS)
               .filter(trafficClass -> trafficClass.prod() == prod)
-              .mapToDouble(Flowing::asked)
+              .mapToDouble(ClassDemand::demandRate)
               .sum();
-      reported.add(new Flowing(OTHER_CLASSES, OTHER_CLASSES, prod, remainder));
+      reported.add(new ClassDemand(OTHER_CLASSES, OTHER_CLASSES, prod, remainder));
     }
     return reported;
   }
--- a/src/main/java/dunlincroft/admission/LoadSnapshot.java
+++ b/src/main/java/dunlincroft/admission/LoadSnapshot.java
@@ -1,8 +1,8 @@
 package dunlincroft.admission;
 
 import dunlincroft.Constants;
-import dunlincroft.transport.Beat.Flowing;
-import dunlincroft.transport.Beat.Load;
+import dunlincroft.transport.PeerHeartbeat.ClassDemand;
+import dunlincroft.transport.PeerHeartbeat.Load;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
@@ -33,17 +33,17 @@
 
   /** Acceptances a second of all controllers together. */
   double capacity() {
-    return reports.values().stream().mapToDouble(each -> each.load.admits()).sum();
+    return reports.values().stream().mapToDouble(each -> each.load.acceptRate()).sum();
   }
 
   /** Demand of each class at all controllers, in acceptances a second. */
   Map<TrafficClass, Double> demand() {
     Map<TrafficClass, Double> sum = new HashMap<>();
     for (Report each : reports.values()) {
-      for (Flowing trafficClass : each.load.flows()) {
+      for (ClassDemand trafficClass : each.load.classDemands()) {
         sum.merge(
             new TrafficClass(trafficClass.team(), trafficClass.jobclass(), trafficClass.prod()),
-            trafficClass.asked(),
+            trafficClass.demandRate(),
             Double::sum);
       }
     }
@@ -59,11 +59,11 @@
   double demand(String node, TrafficClass trafficClass) {
     Report report = reports.get(node);
     if (report != null) {
-      for (Flowing each : report.load.flows()) {
+      for (ClassDemand each : report.load.classDemands()) {
         if (each.team().equals(trafficClass.team())
             && each.jobclass().equals(trafficClass.jobclass())
             && each.prod() == trafficClass.prod()) {
-          return each.asked();
+          return each.demandRate();
         }
       }
     }
--- a/src/main/java/dunlincroft/admission/RetryReservations.java
+++ b/src/main/java/dunlincroft/admission/RetryReservations.java
@@ -1,7 +1,7 @@
 package dunlincroft.admission;
 
 import dunlincroft.Constants;
-import dunlincroft.transport.Beat.Promise;
+import dunlincroft.transport.PeerHeartbeat.RetryReservation;
 import it.unimi.dsi.fastutil.longs.Long2LongLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.longs.LongOpenHashSet;
 import java.util.ArrayDeque;
@@ -82,16 +82,16 @@
    * The reservations made recently, with times in milliseconds from now. Each is sent in several
    * heartbeats, because a heartbeat may be lost and each peer has its own connection.
    */
-  List<Promise> announced(long nowMs) {
+  List<RetryReservation> announced(long nowMs) {
     while (!announcements.isEmpty()
         && announcements.peekFirst().madeMs + Constants.PROMISE_TOLD_MS < nowMs) {
       announcements.removeFirst();
     }
-    List<Promise> result = new ArrayList<>(announcements.size());
+    List<RetryReservation> result = new ArrayList<>(announcements.size());
     announcements.forEach(
         announcement ->
             result.add(
-                new Promise(
+                new RetryReservation(
                     announcement.job,
                     Math.max(0, announcement.dueMs - nowMs),
                     announcement.tentative)));
--- a/src/main/java/dunlincroft/bookkeeping/BlockIndex.java
+++ b/src/main/java/dunlincroft/bookkeeping/BlockIndex.java
@@ -2,7 +2,7 @@
 
 import dunlincroft.bookkeeping.Replica.Item;
 import dunlincroft.protocol.BlockRecord;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import java.util.Collection;
 import java.util.LinkedHashSet;
@@ -77,7 +77,7 @@
           byHost.put(host, block);
           affected.add(host);
         }
-      } catch (Malformed e) {
+      } catch (MalformedException e) {
         LOG.error("record {}/{} cannot be read: {}", Replica.BLOCKS, name, e.getMessage());
       }
     }
--- a/src/main/java/dunlincroft/bookkeeping/ChangeFeed.java
+++ b/src/main/java/dunlincroft/bookkeeping/ChangeFeed.java
@@ -4,7 +4,7 @@
 import dunlincroft.Constants;
 import dunlincroft.bookkeeping.StateStore.Answer;
 import dunlincroft.protocol.Fields;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.transport.Env;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -106,7 +106,7 @@
             LOG.info("state service listed at revision {}: {} keys", listRevision, keys.size());
             onSynced.run();
             watch();
-          } catch (Malformed e) {
+          } catch (MalformedException e) {
             LOG.info("malformed listing from the state service: {}", e.getMessage());
             restart(300);
           }
@@ -153,7 +153,7 @@
       replica.advanceTo(Fields.count(answer.body(), "epoch"));
       currentAsOf = Math.max(currentAsOf, requestedAt);
       return true;
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       LOG.info("malformed changes from the state service: {}", e.getMessage());
       return false;
     }
--- a/src/main/java/dunlincroft/bookkeeping/JobIndex.java
+++ b/src/main/java/dunlincroft/bookkeeping/JobIndex.java
@@ -6,10 +6,10 @@
 import dunlincroft.protocol.Fields;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.LogRecord;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.PageRecord;
 import dunlincroft.protocol.TaskState;
-import dunlincroft.protocol.TaskState.Place;
+import dunlincroft.protocol.TaskState.TaskPlacement;
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
@@ -48,7 +48,7 @@
     public final int pageTasks;
     public final long acceptedAt;
     private final BitSet doneTasks = new BitSet();
-    private final Int2ObjectOpenHashMap<Place> places = new Int2ObjectOpenHashMap<>();
+    private final Int2ObjectOpenHashMap<TaskPlacement> places = new Int2ObjectOpenHashMap<>();
     private final Int2ObjectOpenHashMap<PageLog> pages = new Int2ObjectOpenHashMap<>();
     private int doneCount;
     private boolean faulty;
@@ -64,7 +64,7 @@
     }
 
     /** Recorded placements: the tasks that may be on a machine. */
-    public Collection<Place> places() {
+    public Collection<TaskPlacement> places() {
       return places.values();
     }
 
@@ -86,7 +86,7 @@
      * at most one task more than it has placed.
      */
     public int runnableTasks() {
-      int unfinished = spec.pieces() - doneCount;
+      int unfinished = spec.taskCount() - doneCount;
       return faulty ? Math.min(unfinished, placedCount() + 1) : unfinished;
     }
 
@@ -116,7 +116,7 @@
       return pages.computeIfAbsent(number, n -> new PageLog());
     }
 
-    private void setTask(int task, boolean isDone, Place place) {
+    private void setTask(int task, boolean isDone, TaskPlacement place) {
       doneTasks.set(task, isDone);
       if (place == null) {
         places.remove(task);
@@ -128,19 +128,19 @@
     /** Replaces the known state of a page's tasks by the page's record; null clears it. */
     private void resetPage(int number, PageRecord record) {
       int first = number * pageTasks;
-      int end = Math.min(first + pageTasks, spec.pieces());
+      int end = Math.min(first + pageTasks, spec.taskCount());
       for (int task = first; task < end; task++) {
         setTask(task, record != null && record.state().done().get(task - first), null);
       }
       if (record == null) {
         pages.remove(number);
       } else {
-        for (Place place : record.state().places()) {
+        for (TaskPlacement place : record.state().placements()) {
           int task = first + place.task();
-          setTask(task, false, new Place(task, place.host(), place.attempt()));
+          setTask(task, false, new TaskPlacement(task, place.host(), place.attempt()));
         }
-        updateFaulty(record.upTo(), record.state().faulty());
-        pageLog(number).coveredUpTo = record.upTo();
+        updateFaulty(record.upToEntry(), record.state().faulty());
+        pageLog(number).coveredUpTo = record.upToEntry();
         pageLog(number).oldestUncovered = 0;
       }
       doneCount = doneTasks.cardinality();
@@ -152,13 +152,13 @@
       updateFaulty(entry.number(), state.faulty());
       state.done().stream().forEach(task -> apply(entry.number(), task, true, null));
       state.waiting().stream().forEach(task -> apply(entry.number(), task, false, null));
-      state.places().forEach(place -> apply(entry.number(), place.task(), false, place));
+      state.placements().forEach(place -> apply(entry.number(), place.task(), false, place));
       doneCount = doneTasks.cardinality();
     }
 
-    private void apply(long number, int task, boolean isDone, Place place) {
+    private void apply(long number, int task, boolean isDone, TaskPlacement place) {
       PageLog page = pageLog(task / pageTasks);
-      if (number > page.coveredUpTo && task < spec.pieces()) {
+      if (number > page.coveredUpTo && task < spec.taskCount()) {
         setTask(task, isDone, place);
         page.oldestUncovered = page.oldestUncovered == 0 ? number : page.oldestUncovered;
       }
@@ -261,7 +261,7 @@
         }
         default -> {}
       }
-    } catch (Malformed | NumberFormatException e) {
+    } catch (MalformedException | NumberFormatException e) {
       markUnreadable(kind, name, e);
     }
   }
@@ -284,7 +284,7 @@
     for (String id : replica.items(Replica.JOBS).keySet()) {
       try {
         load(id);
-      } catch (Malformed e) {
+      } catch (MalformedException e) {
         markUnreadable(Replica.JOBS, id, e);
       }
     }
@@ -296,9 +296,9 @@
               try {
                 LogRecord slot = LogRecord.parse(item.data());
                 entries.addAll(slot.entries());
-                lastEntryByShard.mergeLong(parentOf(name), slot.last(), Math::max);
-                lastEntryBySlot.put(name, slot.last());
-              } catch (Malformed e) {
+                lastEntryByShard.mergeLong(parentOf(name), slot.lastNumber(), Math::max);
+                lastEntryBySlot.put(name, slot.lastNumber());
+              } catch (MalformedException e) {
                 markUnreadable(Replica.LOGS, name, e);
               }
             });
@@ -320,7 +320,7 @@
   }
 
   /** Adds a job from its record and its pages. */
-  private Job load(String id) throws Malformed {
+  private Job load(String id) throws MalformedException {
     JsonNode data = replica.get(Replica.JOBS, id).data();
     Job job =
         new Job(
@@ -329,7 +329,7 @@
             (int) Fields.count(data, "pageTasks"),
             Fields.count(data, "acceptedAt"));
     jobs.put(id, job);
-    int pages = (job.spec.pieces() + job.pageTasks - 1) / job.pageTasks;
+    int pages = (job.spec.taskCount() + job.pageTasks - 1) / job.pageTasks;
     for (int page = 0; page < pages; page++) {
       if (replica.get(Replica.PAGES, pageName(id, page)) != null) {
         loadPage(job, page);
@@ -339,7 +339,7 @@
   }
 
   /** Recomputes a job's state from its pages and all log entries, in the order of their numbers. */
-  private void reload(Job job) throws Malformed {
+  private void reload(Job job) throws MalformedException {
     for (int page : Set.copyOf(job.pages.keySet())) {
       loadPage(job, page);
     }
@@ -351,7 +351,7 @@
     Item item = replica.get(Replica.PAGES, name);
     try {
       job.resetPage(number, item == null ? null : PageRecord.parse(item.data()));
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       markUnreadable(Replica.PAGES, name, e);
     }
   }
@@ -361,7 +361,7 @@
    * be older than entries of another slot that was read at a later revision. The job is then
    * recomputed, so that the older entries do not override the newer ones.
    */
-  private void applyNewEntries(String name, JsonNode slot) throws Malformed {
+  private void applyNewEntries(String name, JsonNode slot) throws MalformedException {
     String shard = parentOf(name);
     JsonNode slotEntries = Fields.list(slot, "log");
     int next = slotEntries.size();
@@ -389,7 +389,7 @@
    * All log entries of a job, in the order of their numbers. A page may be written after entries
    * that it does not include, so these have to be applied again on top of it.
    */
-  private List<LogRecord.Entry> logEntries(Job job) throws Malformed {
+  private List<LogRecord.Entry> logEntries(Job job) throws MalformedException {
     List<LogRecord.Entry> entries = new ArrayList<>();
     for (Map.Entry<String, Item> slot : replica.items(Replica.LOGS).entrySet()) {
       if (parentOf(slot.getKey()).equals(job.shard)) {
--- a/src/main/java/dunlincroft/bookkeeping/Replica.java
+++ b/src/main/java/dunlincroft/bookkeeping/Replica.java
@@ -142,9 +142,9 @@
   }
 
   private static void splitKey(String key, KeyHandler handler) {
-    int slash = key.indexOf('/', Wire.ROOT.length());
-    if (key.startsWith(Wire.ROOT) && slash > 0) {
-      handler.handle(key.substring(Wire.ROOT.length(), slash), key.substring(slash + 1));
+    int slash = key.indexOf('/', Wire.KEY_ROOT.length());
+    if (key.startsWith(Wire.KEY_ROOT) && slash > 0) {
+      handler.handle(key.substring(Wire.KEY_ROOT.length(), slash), key.substring(slash + 1));
     }
   }
 
--- a/src/main/java/dunlincroft/bookkeeping/StateStore.java
+++ b/src/main/java/dunlincroft/bookkeeping/StateStore.java
@@ -5,11 +5,11 @@
 import dunlincroft.Constants;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.Fields;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.Wire;
+import dunlincroft.transport.DeferredTask;
 import dunlincroft.transport.Env;
 import dunlincroft.transport.Env.Reply;
-import dunlincroft.transport.Soon;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -85,7 +85,7 @@
   private final TokenBucket writes;
   private final List<ArrayDeque<PendingCall>> queues = new ArrayList<>();
   private final Replica replica;
-  private final Soon dispatcher;
+  private final DeferredTask dispatcher;
 
   /** Requests and writes submitted, whether or not they could be sent yet. */
   private final RateMeter requestDemand = new RateMeter();
@@ -111,7 +111,7 @@
 
   public StateStore(Env env, String address, double rps, double writeRps, Replica replica) {
     this.env = env;
-    this.dispatcher = new Soon(env, this::dispatch);
+    this.dispatcher = new DeferredTask(env, this::dispatch);
     this.address = address;
     this.rps = rps * Constants.BUDGET_PART;
     this.writeRps = writeRps * Constants.BUDGET_PART;
@@ -249,7 +249,7 @@
     requestDemand.add(1);
     writeDemand.add(writeCount);
     // Dispatched from a timer even if budget is available: a callback never runs inside submit.
-    dispatcher.in(0);
+    dispatcher.schedule(0);
   }
 
   private static boolean isAcceptance(Urgency urgency) {
@@ -291,7 +291,7 @@
       next = nextCall(now);
     }
     if (waitingCalls() > 0) {
-      dispatcher.in(Constants.PUMP_MS);
+      dispatcher.schedule(Constants.PUMP_MS);
     }
   }
 
@@ -364,7 +364,7 @@
             // retried before others of its urgency.
             queues.get(call.urgency.ordinal()).addFirst(call);
             (call.writes > 0 ? writes : requests).discardTokens(env.nowMillis());
-            dispatcher.in(Constants.OVER_RATE_MS);
+            dispatcher.schedule(Constants.OVER_RATE_MS);
           } else {
             call.then.accept(parseReply(reply));
           }
@@ -377,7 +377,7 @@
     }
     try {
       return new Answer(reply.status(), Cbor.parse(reply.body()));
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       LOG.info("state service answered {} with a malformed body", reply.status());
       return new Answer(reply.status() == 200 ? 0 : reply.status(), null);
     }
@@ -395,7 +395,7 @@
     submit(
         urgency,
         "POST",
-        Wire.MULTI,
+        Wire.TRANSACTION,
         txn.toNode(),
         txn.size(),
         Constants.STATE_CALL_MS,
@@ -433,7 +433,7 @@
           return new Txn.Result(Txn.Outcome.UNKNOWN, 0, List.of());
         }
       }
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       LOG.info("malformed commit answer from the state service: {}", e.getMessage());
       return new Txn.Result(Txn.Outcome.UNKNOWN, 0, List.of());
     }
@@ -446,7 +446,7 @@
 
   /** Lists one page of all keys, after the given key; null starts with the first key. */
   void list(String after, Consumer<Answer> then) {
-    String path = Wire.KEYS + "?under=" + Wire.ROOT + "&most=" + Constants.KEY_PAGE;
+    String path = Wire.KEYS + "?under=" + Wire.KEY_ROOT + "&most=" + Constants.KEY_PAGE;
     submit(
         Urgency.HANDS,
         "GET",
@@ -462,7 +462,7 @@
     submit(
         Urgency.READ,
         "GET",
-        Wire.CHANGES + "?under=" + Wire.ROOT + "&since=" + since + "&blockMs=" + blockMs,
+        Wire.CHANGES + "?under=" + Wire.KEY_ROOT + "&since=" + since + "&blockMs=" + blockMs,
         null,
         0,
         blockMs + Constants.STATE_CALL_MS,
@@ -474,7 +474,7 @@
     submit(
         Urgency.HOLD,
         "POST",
-        Wire.HOLDS,
+        Wire.SESSION_LEASES,
         Cbor.map().put("lifeMs", Constants.HOLD_MS),
         0,
         Constants.STATE_CALL_MS,
@@ -486,7 +486,7 @@
     submit(
         Urgency.HOLD,
         "POST",
-        Wire.HOLDS + "/" + sessionId + "/touch",
+        Wire.SESSION_LEASES + "/" + sessionId + "/touch",
         Cbor.map(),
         0,
         Constants.STATE_CALL_MS,
@@ -494,7 +494,7 @@
   }
 
   /** The stamp in the answer to a GET; 0 if the key does not exist. */
-  public static long stamp(Answer answer) throws Malformed {
+  public static long stamp(Answer answer) throws MalformedException {
     return answer.status == 200 ? Fields.count(answer.body, "stamp") : 0;
   }
 
--- a/src/main/java/dunlincroft/calendar/Night.java
+++ b/src/main/java/dunlincroft/calendar/Night.java
@@ -5,7 +5,7 @@
 import dunlincroft.conditions.Condition.CutOffAction;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.Fields;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.time.LocalDate;
 import java.time.format.DateTimeParseException;
 import java.util.Locale;
@@ -64,7 +64,7 @@
     return map;
   }
 
-  static Night parse(JsonNode map) throws Malformed {
+  static Night parse(JsonNode map) throws MalformedException {
     try {
       return new Night(
           Fields.text(map, "window"),
@@ -76,7 +76,7 @@
           Fields.count(map, "version"),
           Phase.valueOf(Fields.text(map, "phase").toUpperCase(Locale.ROOT)));
     } catch (DateTimeParseException | IllegalArgumentException e) {
-      throw new Malformed("not a night: " + e.getMessage());
+      throw new MalformedException("not a night: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/dunlincroft/calendar/Plan.java
+++ b/src/main/java/dunlincroft/calendar/Plan.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import dunlincroft.conditions.Condition.CutOffAction;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.time.DateTimeException;
 import java.time.DayOfWeek;
 import java.time.Instant;
@@ -84,12 +84,12 @@
   // ---- reading ----
 
   /** Reads a document; the message of a fault has a line for each of them, with its path. */
-  public static Plan parse(String toml) throws Malformed {
+  public static Plan parse(String toml) throws MalformedException {
     JsonNode root;
     try {
       root = new TomlMapper().readTree(toml);
     } catch (JsonProcessingException e) {
-      throw new Malformed(
+      throw new MalformedException(
           "not TOML at line "
               + e.getLocation().getLineNr()
               + ", column "
@@ -104,7 +104,7 @@
   private static final class Reader {
     private final List<String> faults = new ArrayList<>();
 
-    Plan read(JsonNode root) throws Malformed {
+    Plan read(JsonNode root) throws MalformedException {
       unknown(root, "", Set.of("zone", "markets", "windows"));
       ZoneId zone = value(root, "", "zone", ZoneId::of, null);
       Map<String, Market> markets = new LinkedHashMap<>();
@@ -123,7 +123,7 @@
       }
       distinct(windows);
       if (!faults.isEmpty()) {
-        throw new Malformed(String.join("\n", faults));
+        throw new MalformedException(String.join("\n", faults));
       }
       return new Plan(zone, markets, windows);
     }
--- a/src/main/java/dunlincroft/calendar/RunTimes.java
+++ b/src/main/java/dunlincroft/calendar/RunTimes.java
@@ -16,8 +16,8 @@
   private final Map<String, Histogram> ratios = new HashMap<>();
 
   void ran(JobSpec spec, double seconds) {
-    if (spec.expectS() > 0) {
-      long ratio = (long) Math.max(1, Math.min(MOST, MILLI * seconds / spec.expectS()));
+    if (spec.estimatedRunS() > 0) {
+      long ratio = (long) Math.max(1, Math.min(MOST, MILLI * seconds / spec.estimatedRunS()));
       ratios.computeIfAbsent(spec.jobclass(), c -> new Histogram(MOST, 2)).recordValue(ratio);
     }
   }
@@ -29,6 +29,6 @@
         seen == null || seen.getTotalCount() < Constants.RUN_TIMES_LEAST
             ? Constants.RUN_TIME_UNKNOWN
             : seen.getValueAtPercentile(100 * (1 - Constants.CUT_OFF_RISK)) / MILLI;
-    return spec.expectS() * ratio;
+    return spec.estimatedRunS() * ratio;
   }
 }
--- a/src/main/java/dunlincroft/calendar/Selector.java
+++ b/src/main/java/dunlincroft/calendar/Selector.java
@@ -5,15 +5,15 @@
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.Fields;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 
 /** Which jobs a window is for; what is null does not matter. */
 record Selector(String jobclass, String team, String image) {
   boolean matches(JobSpec spec) {
-    return !spec.daemon()
+    return !spec.isService()
         && (jobclass == null || jobclass.equals(spec.jobclass()))
-        && (team == null || team.equals(spec.owner()))
-        && (image == null || image.equals(spec.bundle()));
+        && (team == null || team.equals(spec.team()))
+        && (image == null || image.equals(spec.image()));
   }
 
   /** Whether some job could match both. */
@@ -29,7 +29,7 @@
     return Cbor.map().put("class", jobclass).put("team", team).put("image", image);
   }
 
-  static Selector parse(JsonNode map) throws Malformed {
+  static Selector parse(JsonNode map) throws MalformedException {
     return new Selector(
         Fields.textOrNull(map, "class"),
         Fields.textOrNull(map, "team"),
--- a/src/main/java/dunlincroft/calendar/SettlementCalendar.java
+++ b/src/main/java/dunlincroft/calendar/SettlementCalendar.java
@@ -11,7 +11,7 @@
 import dunlincroft.conditions.Decision;
 import dunlincroft.documents.Documents;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.Wire;
 import dunlincroft.transport.Env;
 import java.time.LocalDate;
@@ -72,7 +72,7 @@
         if (item != null) {
           try {
             nights.put(name, Night.parse(item.data()));
-          } catch (Malformed e) {
+          } catch (MalformedException e) {
             LOG.error("record {}/{} cannot be read: {}", kind, name, e.getMessage());
           }
         }
@@ -94,7 +94,7 @@
         plan = null;
         version = 0;
       }
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       LOG.error("the settlement calendar cannot be read, the one before holds: {}", e.getMessage());
     }
   }
@@ -154,8 +154,8 @@
     double takes = 1000 * runTimes.secondsOf(spec);
     // What saves loses nothing at a cut-off; what does not is begun only if it can end.
     double least =
-        spec.snapshotS() > 0 && night.end() != CutOffAction.STOP
-            ? Math.min(takes, 1000 * (spec.snapshotS() + spec.flushS()))
+        spec.snapshotIntervalS() > 0 && night.end() != CutOffAction.STOP
+            ? Math.min(takes, 1000 * (spec.snapshotIntervalS() + spec.saveDurationS()))
             : takes;
     boolean inTime = wall + clockOffMs + least < night.cutOffMs();
     boolean soon =
@@ -296,7 +296,7 @@
     int open = 0;
     for (JobIndex.Job job : index.all().values()) {
       if (night.select().matches(job.spec)) {
-        double cores = job.spec.room().cpu() / 1000.0;
+        double cores = job.spec.resources().cpu() / 1000.0;
         coreSeconds += job.runnableTasks() * cores * runTimes.secondsOf(job.spec);
         running += job.placedCount() * cores;
         open += job.runnableTasks();
--- a/src/main/java/dunlincroft/coordination/AnswerHandler.java
+++ b/src/main/java/dunlincroft/coordination/AnswerHandler.java
@@ -1,7 +1,7 @@
 package dunlincroft.coordination;
 
 import dunlincroft.protocol.Cbor;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.WorkerReport;
 import dunlincroft.transport.Env.Reply;
 import org.slf4j.Logger;
@@ -41,7 +41,7 @@
       if (!report.host().equals(machine.host) || report.fence() > cluster.fenceToken(machine)) {
         return false;
       }
-      if (!report.after(lastReport.sessionNumber, lastReport.counter)) {
+      if (!report.isNewerThan(lastReport.sessionNumber, lastReport.counter)) {
         handleRestart(machine, report);
       } else if (machine.session.isNewer(report)) {
         reportHandler.handle(machine, report);
@@ -49,7 +49,7 @@
         reportHandler.onOvertakenAnswer(machine); // A newer report arrived before this reply.
       }
       return true;
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       LOG.info("host {} answered with a malformed report: {}", machine.host, e.getMessage());
       return false;
     }
--- a/src/main/java/dunlincroft/coordination/CloudClient.java
+++ b/src/main/java/dunlincroft/coordination/CloudClient.java
@@ -4,9 +4,9 @@
 import dunlincroft.Constants;
 import dunlincroft.bookkeeping.TokenBucket;
 import dunlincroft.protocol.Cbor;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
+import dunlincroft.transport.DeferredTask;
 import dunlincroft.transport.Env;
-import dunlincroft.transport.Soon;
 import java.util.ArrayDeque;
 import java.util.function.BiConsumer;
 import org.slf4j.Logger;
@@ -26,11 +26,11 @@
   private final String address;
   private final TokenBucket bucket;
   private final ArrayDeque<Call> queue = new ArrayDeque<>();
-  private final Soon sendTask;
+  private final DeferredTask sendTask;
 
   CloudClient(Env env, String address, double rps) {
     this.env = env;
-    this.sendTask = new Soon(env, this::sendQueued);
+    this.sendTask = new DeferredTask(env, this::sendQueued);
     this.address = address;
     this.bucket = new TokenBucket(rps, 1, env.nowMillis());
   }
@@ -56,13 +56,13 @@
     } else {
       queue.addLast(call);
     }
-    sendTask.in(0);
+    sendTask.schedule(0);
   }
 
   private void sendQueued() {
     while (!queue.isEmpty()) {
       if (!bucket.has(1, env.nowMillis())) {
-        sendTask.in(100);
+        sendTask.schedule(100);
         return;
       }
       bucket.consume(1, env.nowMillis());
@@ -80,7 +80,7 @@
             if (reply.body().length > 0) {
               try {
                 body = Cbor.parse(reply.body());
-              } catch (Malformed e) {
+              } catch (MalformedException e) {
                 LOG.info(
                     "cloud response with status {} to {} has a malformed body", status, call.path);
                 status = 0;
--- a/src/main/java/dunlincroft/coordination/ClusterState.java
+++ b/src/main/java/dunlincroft/coordination/ClusterState.java
@@ -16,8 +16,8 @@
 import dunlincroft.protocol.BlockRecord;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.MachineType;
-import dunlincroft.protocol.Malformed;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.MalformedException;
+import dunlincroft.protocol.Resources;
 import dunlincroft.protocol.TaskState;
 import dunlincroft.transport.Env;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
@@ -69,7 +69,7 @@
    * Resources of team limits, by team and shard, whose transfer to another shard has been
    * requested. This node must not use them any more.
    */
-  final Map<String, Room> outgoingShares = new HashMap<>();
+  final Map<String, Resources> outgoingShares = new HashMap<>();
 
   private final Map<String, Long> attemptCounts = new HashMap<>();
 
@@ -190,9 +190,9 @@
           new Machine(
               host,
               record.shard(),
-              record.blockClass().flavour(),
-              record.blockClass().hall(),
-              record.blockClass().lendable(),
+              record.blockClass().machineType(),
+              record.blockClass().zone(),
+              record.blockClass().preemptible(),
               record.hosts().get(host),
               now());
       known.type = machineTypes.get(known.typeLabel);
@@ -230,7 +230,7 @@
     for (JobPage page : created.record.knownPages()) {
       page.stamp = replica.stamp(Replica.PAGES, page.name());
     }
-    for (TaskState.Place place : recordedJob.places()) {
+    for (TaskState.TaskPlacement place : recordedJob.places()) {
       Machine machine = machineOf(place.host(), recordedJob.shard);
       Placement placement = new Placement(created, place.task(), machine, place.attempt(), now());
       // An earlier owner may have sent the start order: only the worker's report or the release of
@@ -265,7 +265,7 @@
     machines.remove(machine.host);
     ringStale = true;
     if (machine.endpoint != null) {
-      env.leave(machine.endpoint);
+      env.closeIdleConnections(machine.endpoint);
     }
   }
 
@@ -294,7 +294,7 @@
   }
 
   private MigrationSides migrationSides(JobSpec spec) {
-    return conditions.active() && spec.daemon() ? conditions.decide(spec).sides() : null;
+    return conditions.active() && spec.isService() ? conditions.decide(spec).sides() : null;
   }
 
   /** Whether a migration assigns each replica of a service to one of two sides. */
@@ -304,20 +304,20 @@
 
   /** Zones in which machines of a type can run tasks of a job. */
   List<String> zonesFor(JobIndex.Job job, MachineType type) {
-    if (job.spec.hall() != null) {
-      return List.of(job.spec.hall());
+    if (job.spec.requiredZone() != null) {
+      return List.of(job.spec.requiredZone());
     }
     MigrationSides sides = migrationSides(job.spec);
     List<String> zones = new ArrayList<>();
-    for (int task = 0; sides != null && task < job.spec.pieces(); task++) {
+    for (int task = 0; sides != null && task < job.spec.taskCount(); task++) {
       int side = sides.sideOf(task);
-      for (String zone : type.halls()) {
+      for (String zone : type.zones()) {
         if (!zones.contains(zone) && sides.contains(side, "", type.label(), zone, false)) {
           zones.add(zone);
         }
       }
     }
-    return zones.isEmpty() ? type.halls() : zones;
+    return zones.isEmpty() ? type.zones() : zones;
   }
 
   /** Number of replicas of a service that are recorded on machines of the wrong migration side. */
@@ -325,7 +325,7 @@
     MigrationSides sides = migrationSides(job.spec);
     int misplaced = 0;
     if (sides != null) {
-      for (TaskState.Place place : job.places()) {
+      for (TaskState.TaskPlacement place : job.places()) {
         BlockIndex.Block block = blocks.blockOf(place.host());
         if (block != null) {
           BlockClass machineClass = block.record().blockClass();
@@ -333,9 +333,9 @@
               sides.contains(
                       sides.sideOf(place.task()),
                       place.host(),
-                      machineClass.flavour(),
-                      machineClass.hall(),
-                      machineClass.lendable())
+                      machineClass.machineType(),
+                      machineClass.zone(),
+                      machineClass.preemptible())
                   ? 0
                   : 1;
         }
@@ -354,7 +354,7 @@
    * policy.
    */
   boolean allowsSpot(JobSpec spec) {
-    return spec.lendable() && policy.spot(spec);
+    return spec.toleratesSpot() && policy.spot(spec);
   }
 
   /**
@@ -394,7 +394,7 @@
   long reservedCpu(Machine machine, boolean prod) {
     if (machine.reservedCpuType != machine.type) {
       machine.reservedCpuType = machine.type;
-      double cpu = machine.type.room().cpu();
+      double cpu = machine.type.resources().cpu();
       double bound = policy.bound(machine.type, machine.zone, machine.preemptible);
       double reserve = policy.reserve(machine.type, machine.zone, machine.preemptible);
       machine.baseReservedCpu = (long) (cpu * (1 - bound));
@@ -437,11 +437,11 @@
    * Resources that a team's tasks take of a shard's share of the limit: tasks that are placed, and
    * tasks that a record still names.
    */
-  Room teamUsage(String team, String shard) {
-    Room sum = Room.NONE;
+  Resources teamUsage(String team, String shard) {
+    Resources sum = Resources.NONE;
     for (JobRun job : jobs.values()) {
-      if (job.spec.owner().equals(team) && job.shard.equals(shard)) {
-        sum = sum.plus(job.spec.room().times(job.chargedTaskCount()));
+      if (job.spec.team().equals(team) && job.shard.equals(shard)) {
+        sum = sum.plus(job.spec.resources().times(job.chargedTaskCount()));
       }
     }
     return sum;
@@ -451,21 +451,21 @@
    * The shard's recorded share of a team's limit, less transfers to other shards that have been
    * requested.
    */
-  Room usableShare(String team, String shard) {
+  Resources usableShare(String team, String shard) {
     Item item = replica.get(Replica.SHARES, team);
     return item == null
-        ? Room.NONE
+        ? Resources.NONE
         : recordedShare(item.data(), shard).minus(outgoingShare(team, shard));
   }
 
   /** A shard's share as recorded; nothing without a record. */
-  static Room recordedShare(JsonNode record, String shard) {
+  static Resources recordedShare(JsonNode record, String shard) {
     JsonNode part = record.path(shard);
-    return new Room(part.path("cpu").asLong(), part.path("gpu").asLong(), Long.MAX_VALUE / 4);
+    return new Resources(part.path("cpu").asLong(), part.path("gpu").asLong(), Long.MAX_VALUE / 4);
   }
 
-  private Room outgoingShare(String team, String shard) {
-    return outgoingShares.getOrDefault(team + "/" + shard, Room.NONE);
+  private Resources outgoingShare(String team, String shard) {
+    return outgoingShares.getOrDefault(team + "/" + shard, Resources.NONE);
   }
 
   /**
@@ -483,9 +483,12 @@
     List<MachineType> allowed = new ArrayList<>();
     for (MachineType type : machineTypes.values()) {
       boolean zoneAllowed =
-          spec.hall() == null ? !type.halls().isEmpty() : type.halls().contains(spec.hall());
-      boolean typeAllowed = spec.flavours() == null || spec.flavours().contains(type.label());
-      if (zoneAllowed && typeAllowed && spec.room().fits(type.room())) {
+          spec.requiredZone() == null
+              ? !type.zones().isEmpty()
+              : type.zones().contains(spec.requiredZone());
+      boolean typeAllowed =
+          spec.machineTypes() == null || spec.machineTypes().contains(type.label());
+      if (zoneAllowed && typeAllowed && spec.resources().fitsInto(type.resources())) {
         allowed.add(type);
       }
     }
@@ -496,7 +499,7 @@
   static List<MachineType> parseMachineTypes(JsonNode data) {
     try {
       return MachineType.parseAll(data);
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       LOG.info("machine types cannot be parsed: {}", e.getMessage());
       return List.of();
     }
--- a/src/main/java/dunlincroft/coordination/Consolidation.java
+++ b/src/main/java/dunlincroft/coordination/Consolidation.java
@@ -3,7 +3,7 @@
 import dunlincroft.Constants;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.MachineType;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import dunlincroft.protocol.Wire;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -161,7 +161,7 @@
   }
 
   private static boolean takesSnapshots(Placement placement) {
-    return placement.job.spec.snapshotS() > 0;
+    return placement.job.spec.snapshotIntervalS() > 0;
   }
 
   private boolean isMovable(Placement placement) {
@@ -201,10 +201,10 @@
   }
 
   private boolean fitsElsewhere(Machine machine) {
-    Map<Machine, Room> free = new HashMap<>();
+    Map<Machine, Resources> free = new HashMap<>();
     for (Placement placement : machine.placements.values()) {
       JobSpec spec = placement.job.spec;
-      if (!spec.daemon() && !takesSnapshots(placement)) {
+      if (!spec.isService() && !takesSnapshots(placement)) {
         return false;
       }
       Machine target =
@@ -214,20 +214,21 @@
               .filter(other -> placement.job.migrationSides == null)
               .filter(
                   other ->
-                      !spec.daemon()
-                          || other.imageState(spec.bundle()) == Machine.ImageState.CACHED)
-              .filter(other -> !spec.daemon() || other.leavesZoneFailoverCapacity(spec.room()))
+                      !spec.isService()
+                          || other.imageState(spec.image()) == Machine.ImageState.CACHED)
+              .filter(
+                  other -> !spec.isService() || other.leavesZoneFailoverCapacity(spec.resources()))
               .filter(
                   other ->
                       other.zone.equals(machine.zone)
-                          || placement.job.tasksPerZone.getInt(other.zone) < spec.zoneMost())
-              .filter(other -> spec.room().fits(free.getOrDefault(other, other.free())))
+                          || placement.job.tasksPerZone.getInt(other.zone) < spec.maxTasksPerZone())
+              .filter(other -> spec.resources().fitsInto(free.getOrDefault(other, other.free())))
               .findFirst()
               .orElse(null);
       if (target == null) {
         return false;
       }
-      free.put(target, free.getOrDefault(target, target.free()).minus(spec.room()));
+      free.put(target, free.getOrDefault(target, target.free()).minus(spec.resources()));
     }
     return true;
   }
--- a/src/main/java/dunlincroft/coordination/Controller.java
+++ b/src/main/java/dunlincroft/coordination/Controller.java
@@ -15,8 +15,8 @@
 import dunlincroft.migration.MigrationLedger;
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.WorkerReport;
-import dunlincroft.transport.Beat;
 import dunlincroft.transport.Env;
+import dunlincroft.transport.PeerHeartbeat;
 import dunlincroft.transport.Responder;
 import java.util.Collection;
 import java.util.Comparator;
@@ -379,13 +379,13 @@
   // ---- peers ----
 
   /** The heartbeat that this node sends to its peers. */
-  public Beat peerHeartbeat() {
+  public PeerHeartbeat peerHeartbeat() {
     return membership.heartbeat(
         jobService.admission().load(cluster.now()), autoscaler.silentMachines());
   }
 
   /** Handles a heartbeat of a peer. */
-  public void onPeerHeartbeat(Beat heartbeat) {
+  public void onPeerHeartbeat(PeerHeartbeat heartbeat) {
     membership.heartbeatReceived(heartbeat);
     jobService.admission().loadReceived(heartbeat.node(), heartbeat.load(), cluster.now());
   }
--- a/src/main/java/dunlincroft/coordination/Demand.java
+++ b/src/main/java/dunlincroft/coordination/Demand.java
@@ -8,7 +8,7 @@
 import dunlincroft.protocol.BlockClass;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.MachineType;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.Map;
@@ -66,19 +66,19 @@
 
   private Map<String, MachineDemand> currentDemand() {
     Map<String, MachineDemand> demandByType = new HashMap<>();
-    Map<String, Room> remainingLimits = new HashMap<>();
+    Map<String, Resources> remainingLimits = new HashMap<>();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
       JobSpec spec = job.spec;
-      Settings.Team team = cluster.settings.teams().get(spec.owner());
+      Settings.Team team = cluster.settings.teams().get(spec.team());
       MachineType type = cheapestType(spec);
       if (team == null || type == null || isCancelled(spec) || !cluster.needsMachines(spec)) {
         continue;
       }
-      Room remaining = remainingLimits.getOrDefault(team.name(), team.limit());
+      Resources remaining = remainingLimits.getOrDefault(team.name(), team.limit());
       // A replica that is to move needs capacity at its destination before it leaves its machine.
       int demandedTasks =
-          spec.room().countIn(remaining, job.runnableTasks() + cluster.misplacedReplicas(job));
-      remainingLimits.put(team.name(), remaining.minus(spec.room().times(demandedTasks)));
+          spec.resources().countIn(remaining, job.runnableTasks() + cluster.misplacedReplicas(job));
+      remainingLimits.put(team.name(), remaining.minus(spec.resources().times(demandedTasks)));
       MachineDemand demand =
           demandByType.computeIfAbsent(type.label(), label -> new MachineDemand());
       if (cluster.allowsSpot(spec)) {
@@ -95,8 +95,8 @@
    * spot machines, with the operators' spare and at least one machine per zone.
    */
   double onDemandTarget(MachineType type, MachineDemand demand) {
-    double spare = cluster.policy.spare(type) * type.halls().size();
-    return Math.max(type.halls().size(), demand.onDemand + spare);
+    double spare = cluster.policy.spare(type) * type.zones().size();
+    return Math.max(type.zones().size(), demand.onDemand + spare);
   }
 
   /** The machine type that is cheapest for a job's tasks, or null if none fits. */
@@ -106,7 +106,7 @@
             Comparator.comparingDouble(
                 type ->
                     (cluster.allowsSpot(spec)
-                            ? Math.min(type.price(), type.lowPrice())
+                            ? Math.min(type.price(), type.spotPrice())
                             : type.price())
                         * machinesFor(spec, type, 1)))
         .orElse(null);
@@ -114,7 +114,8 @@
 
   /** Number of machines that some tasks of a job fill, in fractions of a machine. */
   private static double machinesFor(JobSpec spec, MachineType type, int tasks) {
-    return (double) tasks / Math.max(1, spec.room().countIn(type.room(), Constants.MAX_PIECES));
+    return (double) tasks
+        / Math.max(1, spec.resources().countIn(type.resources(), Constants.MAX_PIECES));
   }
 
   boolean isCancelled(JobSpec spec) {
@@ -137,15 +138,15 @@
   /** Unfinished work that machines of a class may run, in numbers of machines, by shard. */
   Map<String, Double> machinesByShard(BlockClass machineClass) {
     Map<String, Double> work = new HashMap<>();
-    MachineType type = cluster.machineTypes.get(machineClass.flavour());
-    if (type == null || !type.halls().contains(machineClass.hall())) {
+    MachineType type = cluster.machineTypes.get(machineClass.machineType());
+    if (type == null || !type.zones().contains(machineClass.zone())) {
       return work;
     }
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
       JobSpec spec = job.spec;
-      if (spec.allows(machineClass.flavour(), machineClass.hall(), machineClass.lendable())
-          && spec.room().fits(type.room())
-          && (!machineClass.lendable() || cluster.policy.spot(spec))
+      if (spec.allows(machineClass.machineType(), machineClass.zone(), machineClass.preemptible())
+          && spec.resources().fitsInto(type.resources())
+          && (!machineClass.preemptible() || cluster.policy.spot(spec))
           && !isCancelled(spec)
           && cluster.needsMachines(spec)) {
         work.merge(job.shard, machinesFor(spec, type, job.runnableTasks()), Double::sum);
@@ -155,11 +156,11 @@
   }
 
   /** Resources that the unfinished work of a team takes, by shard. */
-  Map<String, Room> resourcesByShard(String team) {
-    Map<String, Room> work = new HashMap<>();
+  Map<String, Resources> resourcesByShard(String team) {
+    Map<String, Resources> work = new HashMap<>();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
-      if (job.spec.owner().equals(team) && !isCancelled(job.spec)) {
-        work.merge(job.shard, job.spec.room().times(job.runnableTasks()), Room::plus);
+      if (job.spec.team().equals(team) && !isCancelled(job.spec)) {
+        work.merge(job.shard, job.spec.resources().times(job.runnableTasks()), Resources::plus);
       }
     }
     return work;
--- a/src/main/java/dunlincroft/coordination/DirectCommands.java
+++ b/src/main/java/dunlincroft/coordination/DirectCommands.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dunlincroft.Constants;
 import dunlincroft.protocol.Cbor;
-import dunlincroft.protocol.Order;
 import dunlincroft.protocol.Wire;
+import dunlincroft.protocol.WorkerOrder;
 import dunlincroft.transport.Env;
 import dunlincroft.transport.Env.Reply;
 import java.util.List;
@@ -44,13 +44,14 @@
       return;
     }
     long fence = cluster.fenceToken(machine);
-    List<Order> orders = workerOrders.forMachine(machine, fence, true);
+    List<WorkerOrder> orders = workerOrders.forMachine(machine, fence, true);
     if (orders.stream().allMatch(DirectCommands::isDeferrable)
         && machine.session.fenceSeen() >= fence) {
       return;
     }
     machine.session.setCommandInFlight(true);
-    ObjectNode body = Order.body(fence, orders).put("tenure", machine.session.sessionNumber());
+    ObjectNode body =
+        WorkerOrder.body(fence, orders).put("tenure", machine.session.sessionNumber());
     AnswerHandler.LastReport lastReport = AnswerHandler.LastReport.of(machine);
     cluster.env.call(
         new Env.Call(
@@ -62,8 +63,8 @@
    * Whether an order can wait for the next heartbeat: ended tasks may stay in the reports, and
    * discarding them is not worth a call.
    */
-  private static boolean isDeferrable(Order order) {
-    return order.verb().equals(Wire.REAP);
+  private static boolean isDeferrable(WorkerOrder order) {
+    return order.verb().equals(Wire.DISCARD);
   }
 
   private void onReply(
@@ -72,7 +73,7 @@
     boolean pushRequested = machine.isPushPending;
     machine.isPushPending = false;
     if (reply.status() != 200 && reply.status() != 409) {
-      if (reply.left()) {
+      if (reply.mayBeExecuted()) {
         // The command may be executed minutes later, as long as the fence stays.
         machine.session.onUnresolvedCommand(fence);
         if (cluster.machines.get(machine.host) == machine) {
--- a/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
@@ -1,8 +1,8 @@
 package dunlincroft.coordination;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dunlincroft.protocol.Order;
 import dunlincroft.protocol.Wire;
+import dunlincroft.protocol.WorkerOrder;
 import dunlincroft.protocol.WorkerReport;
 import java.util.List;
 import org.slf4j.Logger;
@@ -49,7 +49,7 @@
         machine.endpoint = report.endpoint();
         probe.probe(machine);
       }
-      return Order.body(fence, List.of());
+      return WorkerOrder.body(fence, List.of());
     }
     if (report.fence() < machine.session.firstFence()) {
       // The report was sent before this controller acquired the machine, and may be a delayed
@@ -57,7 +57,7 @@
       // worker is queried instead, and its next report carries our fence.
       machine.endpoint = report.endpoint();
       probe.probe(machine);
-      return Order.body(fence, List.of());
+      return WorkerOrder.body(fence, List.of());
     }
     boolean missedAnswer =
         machine.session.hasMissedOurAnswer(report, cluster.now(), cluster.settings.leaseS() * 1000);
@@ -74,10 +74,10 @@
       machine.session.discountReport(previouslyHeardMs);
       probe.suspectMissedAnswer(machine);
     }
-    List<Order> orders = workerOrders.forMachine(machine, fence, false);
+    List<WorkerOrder> orders = workerOrders.forMachine(machine, fence, false);
     boolean hasStarts = orders.stream().anyMatch(order -> order.verb().equals(Wire.RUN));
     machine.session.onAnswered(fence, hasStarts, cluster.now());
-    return Order.body(fence, orders);
+    return WorkerOrder.body(fence, orders);
   }
 
   /** Whether a start was sent in an answer and is missing from the report that followed. */
--- a/src/main/java/dunlincroft/coordination/JobRecord.java
+++ b/src/main/java/dunlincroft/coordination/JobRecord.java
@@ -38,7 +38,7 @@
 
   JobRecord(JobRun job) {
     this.job = job;
-    this.pages = new JobPage[(job.spec.pieces() + job.pageTasks - 1) / job.pageTasks];
+    this.pages = new JobPage[(job.spec.taskCount() + job.pageTasks - 1) / job.pageTasks];
   }
 
   JobRun job() {
@@ -167,12 +167,13 @@
   /** The recorded state of the tasks of a page. */
   TaskState stateOf(JobPage page) {
     int first = page.index * job.pageTasks;
-    int end = Math.min(first + job.pageTasks, job.spec.pieces());
-    List<TaskState.Place> places = new ArrayList<>();
+    int end = Math.min(first + job.pageTasks, job.spec.taskCount());
+    List<TaskState.TaskPlacement> places = new ArrayList<>();
     for (int task = first; task < end; task++) {
       Placement placement = recordedPlacements.get(task);
       if (placement != null) {
-        places.add(new TaskState.Place(task - first, placement.machine.host, placement.attempt));
+        places.add(
+            new TaskState.TaskPlacement(task - first, placement.machine.host, placement.attempt));
       }
     }
     return new TaskState(recordedDone.get(first, end), new BitSet(), places, job.faulty);
--- a/src/main/java/dunlincroft/coordination/JobRun.java
+++ b/src/main/java/dunlincroft/coordination/JobRun.java
@@ -161,7 +161,7 @@
     this.shard = shard;
     this.pageTasks = pageTasks;
     this.acceptedAt = acceptedAt;
-    this.limitKey = limitKey(shard, spec.owner());
+    this.limitKey = limitKey(shard, spec.team());
     this.record = new JobRecord(this);
   }
 
@@ -224,7 +224,7 @@
    */
   boolean mustAwaitLog() {
     return record.hasManyPages()
-        && (spec.spread() || spec.samePlace())
+        && (spec.spreadZones() || spec.sameZone())
         && record.hasUnrecordedChanges();
   }
 
@@ -283,7 +283,7 @@
   }
 
   int waitingTaskCount() {
-    return spec.pieces() - placedOrDoneCount;
+    return spec.taskCount() - placedOrDoneCount;
   }
 
   /**
@@ -304,10 +304,12 @@
   /** The first waiting task from {@code from} on that passes the side filter, or -1. */
   int nextWaitingTask(int from) {
     int task = placedOrDone.nextClearBit(from);
-    while (sideFilter >= 0 && task < spec.pieces() && migrationSides.sideOf(task) != sideFilter) {
+    while (sideFilter >= 0
+        && task < spec.taskCount()
+        && migrationSides.sideOf(task) != sideFilter) {
       task = placedOrDone.nextClearBit(task + 1);
     }
-    return task < spec.pieces() ? task : -1;
+    return task < spec.taskCount() ? task : -1;
   }
 
   /** Whether a machine passes the side filter. */
@@ -404,6 +406,6 @@
   }
 
   boolean isComplete() {
-    return !spec.daemon() && doneCount == spec.pieces();
+    return !spec.isService() && doneCount == spec.taskCount();
   }
 }
--- a/src/main/java/dunlincroft/coordination/JobService.java
+++ b/src/main/java/dunlincroft/coordination/JobService.java
@@ -150,7 +150,7 @@
         JobIndex.newRecord(spec, owner, cluster.settings.pageTasks(), cluster.env.wallMillis());
     boolean isProd = spec.rank() == JobSpec.Rank.PROD;
     Urgency urgency = isProd ? Urgency.ACCEPT_PROD : Urgency.ACCEPT;
-    TrafficClass trafficClass = new TrafficClass(spec.owner(), spec.jobclass(), isProd);
+    TrafficClass trafficClass = new TrafficClass(spec.team(), spec.jobclass(), isProd);
     Admission.Verdict admissionDecision =
         admission.offer(ref, trafficClass, cluster.store.expectedWaitMs(urgency, 1), cluster.now());
     if (!admissionDecision.admitted()) {
@@ -174,8 +174,8 @@
               LOG.info(
                   "job {} of team {} accepted: {} tasks of class {}, owner {}",
                   ref,
-                  spec.owner(),
-                  spec.pieces(),
+                  spec.team(),
+                  spec.taskCount(),
                   spec.jobclass(),
                   owner);
               then.accept(new Response(ResultCode.CREATED, ref, Wire.PENDING, 0, 0));
@@ -197,11 +197,11 @@
    * while no machine types are known.
    */
   private ResultCode validate(JobSpec spec) {
-    Settings.Team team = cluster.settings.teams().get(spec.owner());
+    Settings.Team team = cluster.settings.teams().get(spec.team());
     if (team == null) {
       return ResultCode.IMPOSSIBLE;
     }
-    if (!spec.room().times(spec.daemon() ? spec.pieces() : 1).fits(team.limit())) {
+    if (!spec.resources().times(spec.isService() ? spec.taskCount() : 1).fitsInto(team.limit())) {
       return ResultCode.IMPOSSIBLE;
     }
     if (cluster.machineTypes.isEmpty()) {
@@ -220,7 +220,7 @@
 
   private Response endedResponse(String ref, JsonNode endRecord, long revision) {
     String status = endRecord.path(Replica.STATUS).asText();
-    if (status.equals(Wire.WITHDRAWN) && !membership.acknowledgeCancellation(ref, revision)) {
+    if (status.equals(Wire.CANCELLED) && !membership.acknowledgeCancellation(ref, revision)) {
       return Response.unavailable(ref, UnavailableCause.PROMISED);
     }
     return new Response(ResultCode.OK, ref, status, endRecord.path("done").asInt(), 0);
@@ -317,7 +317,7 @@
    */
   private Response cancelledResponse(String ref, long revision, int done) {
     return membership.acknowledgeCancellation(ref, revision)
-        ? new Response(ResultCode.OK, ref, Wire.WITHDRAWN, done, 0)
+        ? new Response(ResultCode.OK, ref, Wire.CANCELLED, done, 0)
         : Response.unavailable(ref, UnavailableCause.PROMISED);
   }
 
@@ -330,7 +330,7 @@
           boolean isUnfinished =
               response.code == ResultCode.OK
                   && !response.status.equals(Wire.DONE)
-                  && !response.status.equals(Wire.WITHDRAWN);
+                  && !response.status.equals(Wire.CANCELLED);
           if (!isUnfinished) {
             then.accept(response);
             return;
--- a/src/main/java/dunlincroft/coordination/JobUpdate.java
+++ b/src/main/java/dunlincroft/coordination/JobUpdate.java
@@ -36,10 +36,11 @@
   ObjectNode toLogEntry(long entryNumber) {
     BitSet waiting = (BitSet) tasks.clone();
     waiting.andNot(done);
-    List<TaskState.Place> places = new ArrayList<>();
+    List<TaskState.TaskPlacement> places = new ArrayList<>();
     for (Placement placement : placements) {
       waiting.clear(placement.task);
-      places.add(new TaskState.Place(placement.task, placement.machine.host, placement.attempt));
+      places.add(
+          new TaskState.TaskPlacement(placement.task, placement.machine.host, placement.attempt));
     }
     return new LogRecord.Entry(
             entryNumber, job.id, new TaskState(done, waiting, places, job.faulty))
--- a/src/main/java/dunlincroft/coordination/Machine.java
+++ b/src/main/java/dunlincroft/coordination/Machine.java
@@ -2,7 +2,7 @@
 
 import dunlincroft.protocol.BlockClass;
 import dunlincroft.protocol.MachineType;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import dunlincroft.protocol.WorkerReport;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
@@ -66,19 +66,19 @@
   MachineLifecycle lifecycle = MachineLifecycle.IN_USE;
 
   /** Tasks in the worker's newest report. */
-  List<WorkerReport.Piece> reportedTasks = List.of();
+  List<WorkerReport.TaskReport> reportedTasks = List.of();
 
   /** Placements by task name. */
   final Map<String, Placement> placements = new Object2ObjectLinkedOpenHashMap<>();
 
   /** Sum of the resources of all placements, updated with every change. */
-  private Room allocated = Room.NONE;
+  private Resources allocated = Resources.NONE;
 
   /** Number of placements that belong to services. */
   private int serviceCount;
 
   /** Sum of the resources of the placements that belong to services. */
-  private Room allocatedToServices = Room.NONE;
+  private Resources allocatedToServices = Resources.NONE;
 
   /** Images from which a task has run here, as far as this owner has observed. */
   private final Set<String> cachedImages = new HashSet<>();
@@ -90,7 +90,7 @@
   private int missingImages;
 
   /** Resources of orphaned tasks, which no record names; they are being stopped. */
-  Room orphanedResources = Room.NONE;
+  Resources orphanedResources = Resources.NONE;
 
   /** Whether orders have to be pushed again once the direct command in flight is answered. */
   boolean isPushPending;
@@ -148,12 +148,12 @@
 
   void add(Placement placement) {
     placements.put(placement.taskName(), placement);
-    allocated = allocated.plus(placement.job.spec.room());
-    if (placement.job.spec.daemon()) {
+    allocated = allocated.plus(placement.job.spec.resources());
+    if (placement.job.spec.isService()) {
       serviceCount++;
-      allocatedToServices = allocatedToServices.plus(placement.job.spec.room());
+      allocatedToServices = allocatedToServices.plus(placement.job.spec.resources());
     }
-    String image = placement.job.spec.bundle();
+    String image = placement.job.spec.image();
     if (placementsByImage.addTo(image, 1) == 0 && !cachedImages.contains(image)) {
       missingImages++;
     }
@@ -161,12 +161,12 @@
 
   void remove(Placement placement) {
     if (placements.remove(placement.taskName(), placement)) {
-      allocated = allocated.minus(placement.job.spec.room());
-      if (placement.job.spec.daemon()) {
+      allocated = allocated.minus(placement.job.spec.resources());
+      if (placement.job.spec.isService()) {
         serviceCount--;
-        allocatedToServices = allocatedToServices.minus(placement.job.spec.room());
+        allocatedToServices = allocatedToServices.minus(placement.job.spec.resources());
       }
-      String image = placement.job.spec.bundle();
+      String image = placement.job.spec.image();
       if (placementsByImage.addTo(image, -1) == 1) {
         placementsByImage.removeInt(image);
         missingImages -= cachedImages.contains(image) ? 0 : 1;
@@ -193,25 +193,26 @@
   }
 
   /** Resources of all placements and orphaned tasks. */
-  Room used() {
+  Resources used() {
     return allocated.plus(orphanedResources);
   }
 
   /** Resources that are not in use; none while the machine type is unknown. */
-  Room free() {
-    return type == null ? Room.NONE : type.room().minus(used());
+  Resources free() {
+    return type == null ? Resources.NONE : type.resources().minus(used());
   }
 
   /** A quick check before the exact one: whether enough CPU can be free beyond the reservation. */
-  boolean mayFit(Room requested, long reserved) {
+  boolean mayFit(Resources requested, long reserved) {
     return type != null
-        && type.room().cpu() - allocated.cpu() - orphanedResources.cpu() - reserved
+        && type.resources().cpu() - allocated.cpu() - orphanedResources.cpu() - reserved
             >= requested.cpu();
   }
 
   /** Whether nothing is placed here and the worker reports no task that has not ended. */
   boolean hasNoTasks() {
-    return placements.isEmpty() && reportedTasks.stream().allMatch(WorkerReport.Piece::exited);
+    return placements.isEmpty()
+        && reportedTasks.stream().allMatch(WorkerReport.TaskReport::hasExited);
   }
 
   /**
@@ -219,13 +220,13 @@
    * a failed zone: with three zones, one third of the machine stays free for that, which other work
    * may use until then.
    */
-  boolean leavesZoneFailoverCapacity(Room replica) {
-    int zoneCount = type.halls().size();
+  boolean leavesZoneFailoverCapacity(Resources replica) {
+    int zoneCount = type.zones().size();
     return zoneCount < 2
         || allocatedToServices
             .plus(replica)
             .times(zoneCount)
-            .fits(type.room().times(zoneCount - 1));
+            .fitsInto(type.resources().times(zoneCount - 1));
   }
 
   /** Whether a replica of a service is placed here. */
--- a/src/main/java/dunlincroft/coordination/MachineDiscovery.java
+++ b/src/main/java/dunlincroft/coordination/MachineDiscovery.java
@@ -93,7 +93,7 @@
           if (membership.isLeader() && answer.isFromHost()) {
             adopt(
                 List.of(host),
-                new BlockClass(report.flavour(), report.hall(), report.lendable()),
+                new BlockClass(report.machineType(), report.zone(), report.preemptible()),
                 cluster.env.wallMillis(),
                 null);
           }
@@ -156,7 +156,7 @@
   }
 
   private static boolean matches(BlockClass blockClass, String type, boolean preemptible) {
-    return blockClass.flavour().equals(type) && blockClass.lendable() == preemptible;
+    return blockClass.machineType().equals(type) && blockClass.preemptible() == preemptible;
   }
 
   /** Leases new machines while this node leads; discards all proposals otherwise. */
--- a/src/main/java/dunlincroft/coordination/MachineHandover.java
+++ b/src/main/java/dunlincroft/coordination/MachineHandover.java
@@ -7,7 +7,7 @@
 import dunlincroft.bookkeeping.Txn;
 import dunlincroft.membership.Membership;
 import dunlincroft.protocol.BlockClass;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import dunlincroft.protocol.Wire;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -154,9 +154,10 @@
    * Whether the share of the team's limit that the job's shard has is sufficient for one more task.
    */
   private boolean hasShareForOneTask(JobIndex.Job job) {
-    String team = job.spec.owner();
-    Room unused = cluster.usableShare(team, job.shard).minus(cluster.teamUsage(team, job.shard));
-    return job.spec.room().fits(unused);
+    String team = job.spec.team();
+    Resources unused =
+        cluster.usableShare(team, job.shard).minus(cluster.teamUsage(team, job.shard));
+    return job.spec.resources().fitsInto(unused);
   }
 
   // ---- waiting jobs without free capacity in their shard ----
@@ -254,11 +255,11 @@
             .guard(Wire.key(Replica.SHARDS, from), cluster.ownedShards.getLong(from))
             .guard(key, block.stamp());
     if (hosts.size() == block.size()) {
-      txn.put(key, block.record().part(hosts, to).toNode());
+      txn.put(key, block.record().subset(hosts, to).toNode());
     } else {
       String newKey = Wire.key(Replica.BLOCKS, membership.nextName());
       txn.put(key, block.record().without(hosts).toNode());
-      txn.guard(newKey, 0).put(newKey, block.record().part(hosts, to).toNode());
+      txn.guard(newKey, 0).put(newKey, block.record().subset(hosts, to).toNode());
     }
     machines.forEach(machine -> machine.isMoving = true);
     writer.commit(
--- a/src/main/java/dunlincroft/coordination/MachineList.java
+++ b/src/main/java/dunlincroft/coordination/MachineList.java
@@ -5,8 +5,8 @@
 import dunlincroft.membership.Membership;
 import dunlincroft.protocol.BlockClass;
 import dunlincroft.protocol.Fields;
-import dunlincroft.protocol.Listing;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MachineListing;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.Wire;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -109,7 +109,7 @@
           try {
             String last = since;
             for (JsonNode item : Fields.list(body, "hosts")) {
-              Listing listing = Listing.parse(item);
+              MachineListing listing = MachineListing.parse(item);
               last = listing.host();
               seen.add(last);
               onListed(listing);
@@ -124,13 +124,13 @@
                 locateMachines();
               }
             }
-          } catch (Malformed e) {
+          } catch (MalformedException e) {
             LOG.info("machine list is malformed: {}", e.getMessage());
           }
         });
   }
 
-  private void onListed(Listing listing) {
+  private void onListed(MachineListing listing) {
     if (cluster.blocks.blockOf(listing.host()) == null) {
       // The list lags: a machine released a moment ago is still listed. One that stays is adopted.
       if (membership.isLeader()
@@ -140,8 +140,8 @@
         LOG.info("host {} is listed by the cloud and has no block: adopting it", listing.host());
         discovery.adopt(
             List.of(listing.host()),
-            new BlockClass(listing.flavour(), listing.hall(), listing.lendable()),
-            cluster.env.wallMillis() - (long) (listing.heldS() * 1000),
+            new BlockClass(listing.machineType(), listing.zone(), listing.preemptible()),
+            cluster.env.wallMillis() - (long) (listing.rentedS() * 1000),
             null);
       }
       return;
@@ -153,7 +153,9 @@
       owned.endpoint = listing.endpoint();
       probe.probe(owned);
     }
-    if (owned != null && listing.status().equals(Listing.FAILED) && owned.drainReason == null) {
+    if (owned != null
+        && listing.status().equals(MachineListing.FAILED)
+        && owned.drainReason == null) {
       LOG.info("host {} is listed as failed by the cloud", listing.host());
       owned.drainReason = "failed";
     }
--- a/src/main/java/dunlincroft/coordination/MachineProvisioner.java
+++ b/src/main/java/dunlincroft/coordination/MachineProvisioner.java
@@ -11,8 +11,8 @@
 import dunlincroft.protocol.Fields;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.MachineType;
-import dunlincroft.protocol.Malformed;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.MalformedException;
+import dunlincroft.protocol.Resources;
 import dunlincroft.protocol.Wire;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -84,15 +84,15 @@
     int leased = 0;
     for (BlockIndex.Block block : cluster.blocks.all()) {
       BlockClass blockClass = block.record().blockClass();
-      if (!blockClass.flavour().equals(type)) {
+      if (!blockClass.machineType().equals(type)) {
         continue;
       }
       for (String host : block.record().hosts().keySet()) {
         leased++;
         Machine machine = cluster.machines.get(host);
         if (machine == null ? !silentOnPeers.contains(host) : isExpectedToServe(machine)) {
-          preemptible += blockClass.lendable() ? 1 : 0;
-          onDemand += blockClass.lendable() ? 0 : 1;
+          preemptible += blockClass.preemptible() ? 1 : 0;
+          onDemand += blockClass.preemptible() ? 0 : 1;
         }
       }
     }
@@ -207,7 +207,7 @@
         .forEach(
             (shortage, number) -> {
               BlockClass machineClass = shortage.blockClass();
-              MachineType type = cluster.machineTypes.get(machineClass.flavour());
+              MachineType type = cluster.machineTypes.get(machineClass.machineType());
               MachineCounts counts = countMachines(type.label());
               int headroom =
                   cluster.policy.rentalsMost(type) - counts.onDemandCount - counts.preemptibleCount;
@@ -227,7 +227,7 @@
   /** Whether the cloud has recently refused machines of this class, or its zone is cut off. */
   private boolean isRefused(BlockClass machineClass) {
     return refusedUntil.getOrDefault(machineClass, 0L) > cluster.now()
-        || zoneOutages.isCutOff(machineClass.hall());
+        || zoneOutages.isCutOff(machineClass.zone());
   }
 
   /**
@@ -236,15 +236,15 @@
    */
   private boolean rentAcrossZones(MachineType type, boolean preemptible, int number) {
     Map<String, Integer> machinesPerZone = new HashMap<>();
-    type.halls().forEach(zone -> machinesPerZone.put(zone, 0));
+    type.zones().forEach(zone -> machinesPerZone.put(zone, 0));
     for (BlockIndex.Block block : cluster.blocks.all()) {
-      if (block.record().blockClass().lendable() == preemptible) {
+      if (block.record().blockClass().preemptible() == preemptible) {
         int more = block.record().hosts().size();
-        machinesPerZone.computeIfPresent(block.record().blockClass().hall(), (zone, n) -> n + more);
+        machinesPerZone.computeIfPresent(block.record().blockClass().zone(), (zone, n) -> n + more);
       }
     }
     List<String> availableZones =
-        type.halls().stream()
+        type.zones().stream()
             .filter(zone -> !isRefused(new BlockClass(type.label(), zone, preemptible)))
             .sorted(Comparator.comparingInt(machinesPerZone::get))
             .toList();
@@ -266,9 +266,9 @@
     ObjectNode body =
         Cbor.map()
             .put("hire", membership.nextName())
-            .put("flavour", machineClass.flavour())
-            .put("hall", machineClass.hall())
-            .put("lendable", machineClass.lendable())
+            .put("flavour", machineClass.machineType())
+            .put("hall", machineClass.zone())
+            .put("lendable", machineClass.preemptible())
             .put("number", Math.min(Constants.MAX_HIRE, number));
     send(body, machineClass, shard, 0);
   }
@@ -311,14 +311,14 @@
   private void provisionFor(JobIndex.Job job) {
     JobSpec spec = job.spec;
     MachineType type = demand.cheapestType(spec);
-    Settings.Team team = cluster.settings.teams().get(spec.owner());
+    Settings.Team team = cluster.settings.teams().get(spec.team());
     if (type == null || team == null || demand.isCancelled(spec) || !cluster.needsMachines(spec)) {
       return;
     }
-    Room used = spec.room();
+    Resources used = spec.resources();
     for (JobIndex.Job other : cluster.jobIndex.all().values()) {
-      if (other.spec.owner().equals(spec.owner())) {
-        used = used.plus(other.spec.room().times(other.placedCount()));
+      if (other.spec.team().equals(spec.team())) {
+        used = used.plus(other.spec.resources().times(other.placedCount()));
       }
     }
     Demand.MachineDemand need =
@@ -326,7 +326,7 @@
     MachineCounts counts = countMachines(type.label());
     int total = counts.onDemandCount + counts.preemptibleCount;
     boolean isEnough = total >= demand.onDemandTarget(type, need) + need.preemptible;
-    if (!isEnough || !used.fits(team.limit()) || total >= cluster.policy.rentalsMost(type)) {
+    if (!isEnough || !used.fitsInto(team.limit()) || total >= cluster.policy.rentalsMost(type)) {
       return;
     }
     List<String> candidateZones = cluster.zonesFor(job, type);
@@ -347,8 +347,8 @@
   /** Machines requested from the cloud that has not answered yet. */
   private int requestedCount(String type, boolean preemptible) {
     return requested.entrySet().stream()
-        .filter(entry -> entry.getKey().flavour().equals(type))
-        .filter(entry -> entry.getKey().lendable() == preemptible)
+        .filter(entry -> entry.getKey().machineType().equals(type))
+        .filter(entry -> entry.getKey().preemptible() == preemptible)
         .mapToInt(Map.Entry::getValue)
         .sum();
   }
@@ -385,7 +385,7 @@
                 "hired {} of {} {}: {}", rented.size(), body.path("number"), machineClass, rented);
             discovery.adopt(rented, machineClass, cluster.env.wallMillis(), shard);
             discovery.tick();
-          } catch (Malformed e) {
+          } catch (MalformedException e) {
             LOG.info("response to rental {} is malformed: {}", body.path("hire"), e.getMessage());
           }
         });
--- a/src/main/java/dunlincroft/coordination/MachineReleaser.java
+++ b/src/main/java/dunlincroft/coordination/MachineReleaser.java
@@ -132,7 +132,7 @@
     cloud.call(
         true,
         "POST",
-        Wire.RELEASE,
+        Wire.RELEASE_MACHINES,
         body,
         (status, answer) -> {
           isReleasing = false;
--- a/src/main/java/dunlincroft/coordination/MachineSession.java
+++ b/src/main/java/dunlincroft/coordination/MachineSession.java
@@ -177,7 +177,7 @@
 
   /** Whether a report is newer than those received before. */
   boolean isNewer(WorkerReport report) {
-    return report.after(sessionNumber, counter);
+    return report.isNewerThan(sessionNumber, counter);
   }
 
   /**
@@ -189,7 +189,7 @@
     if (answeredMs < 0) {
       return false;
     }
-    if (report.tenure() > sessionNumber) {
+    if (report.sessionNumber() > sessionNumber) {
       return nowMs - answeredMs < leaseMs;
     }
     return report.fence() < answeredFence
@@ -208,7 +208,7 @@
     state = state.onReport();
     unreachableSinceMs = NEVER;
     isSuspected = false;
-    sessionNumber = report.tenure();
+    sessionNumber = report.sessionNumber();
     counter = report.counter();
     fenceSeen = report.fence();
     lastHeardMs = nowMs;
--- a/src/main/java/dunlincroft/coordination/Placement.java
+++ b/src/main/java/dunlincroft/coordination/Placement.java
@@ -49,7 +49,7 @@
     this.machine = machine;
     this.attempt = attempt;
     this.placedAtMs = placedAtMs;
-    this.taskName = Wire.piece(job.id, task);
+    this.taskName = Wire.taskId(job.id, task);
   }
 
   /** Name of the task, from the job's id and the task's number. */
@@ -59,8 +59,8 @@
 
   /** Seconds that the task gets to save its state when it is stopped. */
   double stopGraceS() {
-    return job.spec.snapshotS() > 0 && job.stopMode() == JobRun.StopMode.SAVE_FIRST
-        ? job.spec.flushS()
+    return job.spec.snapshotIntervalS() > 0 && job.stopMode() == JobRun.StopMode.SAVE_FIRST
+        ? job.spec.saveDurationS()
         : 0;
   }
 }
--- a/src/main/java/dunlincroft/coordination/PlacementLog.java
+++ b/src/main/java/dunlincroft/coordination/PlacementLog.java
@@ -9,7 +9,7 @@
 import dunlincroft.bookkeeping.Txn;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.Wire;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -78,7 +78,7 @@
    */
   void expedite(String team) {
     for (JobRun job : dirtyJobs) {
-      if (job.spec.owner().equals(team)) {
+      if (job.spec.team().equals(team)) {
         expedite(job);
       }
     }
@@ -320,7 +320,7 @@
               }
               return;
             }
-          } catch (Malformed e) {
+          } catch (MalformedException e) {
             LOG.info("malformed answer for log slot {}: {}", log.currentSlotKey(), e.getMessage());
           }
           cluster.env.after(Constants.REREAD_MS, () -> reread(log, entryNumber, written, updates));
@@ -440,7 +440,7 @@
           try {
             page.stamp = StateStore.stamp(answer);
             page.outcomeUnknown = false;
-          } catch (Malformed e) {
+          } catch (MalformedException e) {
             LOG.info("malformed answer for page {}: {}", page.name(), e.getMessage());
             cluster.env.after(Constants.REREAD_MS, () -> reread(page));
           }
@@ -464,7 +464,7 @@
     job.finishing = true;
     ObjectNode endRecord =
         Cbor.map()
-            .put(Replica.STATUS, isCancelled ? Wire.WITHDRAWN : Wire.DONE)
+            .put(Replica.STATUS, isCancelled ? Wire.CANCELLED : Wire.DONE)
             .put("done", job.doneTaskCount());
     String jobKey = Wire.key(Replica.JOBS, job.id);
     String cancelKey = Wire.key(Replica.CANCELS, job.id);
@@ -489,7 +489,7 @@
             LOG.info(
                 "job {} is {} after {} ms",
                 job.id,
-                isCancelled ? Wire.WITHDRAWN : Wire.DONE,
+                isCancelled ? Wire.CANCELLED : Wire.DONE,
                 cluster.env.wallMillis() - job.acceptedAt);
             dirtyJobs.remove(job);
             return;
--- a/src/main/java/dunlincroft/coordination/ProxyOwner.java
+++ b/src/main/java/dunlincroft/coordination/ProxyOwner.java
@@ -5,9 +5,9 @@
 import dunlincroft.bookkeeping.BlockIndex;
 import dunlincroft.bookkeeping.Replica;
 import dunlincroft.membership.Membership;
-import dunlincroft.protocol.Order;
+import dunlincroft.protocol.WorkerOrder;
 import dunlincroft.protocol.WorkerReport;
-import dunlincroft.protocol.WorkerReport.Piece;
+import dunlincroft.protocol.WorkerReport.TaskReport;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -83,17 +83,18 @@
 
   /** The answer to a worker: orders to stop cancelled tasks. All other tasks continue. */
   ObjectNode answer(WorkerReport report) {
-    List<Order> orders =
-        report.pieces().stream()
-            .filter(task -> !task.exited() && isCancelled(task))
+    List<WorkerOrder> orders =
+        report.tasks().stream()
+            .filter(task -> !task.hasExited() && isCancelled(task))
             .limit(Constants.MAX_ORDERS)
-            .map(task -> Order.kill(task.id(), task.attempt(), 0))
+            .map(task -> WorkerOrder.kill(task.id(), task.attempt(), 0))
             .toList();
     cluster.metrics.count(Metrics.Event.STOOD_IN);
-    return Order.body(Math.max(report.fence(), membership.highestCancellationRevision()), orders);
+    return WorkerOrder.body(
+        Math.max(report.fence(), membership.highestCancellationRevision()), orders);
   }
 
-  private boolean isCancelled(Piece task) {
+  private boolean isCancelled(TaskReport task) {
     return cancelledJobs.containsKey(task.job())
         || cluster.replica.get(Replica.CANCELS, task.job()) != null
         || cluster.replica.get(Replica.ENDED, task.job()) != null;
--- a/src/main/java/dunlincroft/coordination/RecordedCapacity.java
+++ b/src/main/java/dunlincroft/coordination/RecordedCapacity.java
@@ -6,8 +6,8 @@
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.JobSpec.Rank;
 import dunlincroft.protocol.MachineType;
-import dunlincroft.protocol.Room;
-import dunlincroft.protocol.TaskState.Place;
+import dunlincroft.protocol.Resources;
+import dunlincroft.protocol.TaskState.TaskPlacement;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -24,10 +24,10 @@
     final String name;
     final String shard;
     final BlockClass blockClass;
-    Room free;
+    Resources free;
     boolean hasServices;
 
-    private Host(String name, String shard, BlockClass blockClass, Room free) {
+    private Host(String name, String shard, BlockClass blockClass, Resources free) {
       this.name = name;
       this.shard = shard;
       this.blockClass = blockClass;
@@ -42,11 +42,11 @@
     this.cluster = cluster;
     Map<String, Host> hosts = loadHosts();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
-      for (Place place : job.places()) {
+      for (TaskPlacement place : job.places()) {
         Host host = hosts.get(place.host());
         if (host != null) {
-          host.free = host.free.minus(job.spec.room());
-          host.hasServices |= job.spec.daemon();
+          host.free = host.free.minus(job.spec.resources());
+          host.hasServices |= job.spec.isService();
         }
       }
     }
@@ -56,12 +56,14 @@
     Map<String, Host> hosts = new HashMap<>();
     for (BlockIndex.Block block : cluster.blocks.all()) {
       BlockClass blockClass = block.record().blockClass();
-      MachineType type = cluster.machineTypes.get(blockClass.flavour());
+      MachineType type = cluster.machineTypes.get(blockClass.machineType());
       if (type == null) {
         continue;
       }
-      double bound = cluster.policy.bound(type, blockClass.hall(), blockClass.lendable());
-      Room capacity = type.room().minus(new Room((long) (type.room().cpu() * (1 - bound)), 0, 0));
+      double bound = cluster.policy.bound(type, blockClass.zone(), blockClass.preemptible());
+      Resources capacity =
+          type.resources()
+              .minus(new Resources((long) (type.resources().cpu() * (1 - bound)), 0, 0));
       for (String name : block.record().hosts().keySet()) {
         Machine known = cluster.machines.get(name);
         if (known == null || cluster.isUsable(known)) {
@@ -93,10 +95,12 @@
         return maxTasks;
       }
       if (isSuitable(job.spec, host, tasksPerZone)) {
-        String zone = host.blockClass.hall();
-        int zoneLimit = job.spec.zoneMost() - tasksPerZone.getOrDefault(zone, 0);
+        String zone = host.blockClass.zone();
+        int zoneLimit = job.spec.maxTasksPerZone() - tasksPerZone.getOrDefault(zone, 0);
         int fitting =
-            job.spec.room().countIn(freeCapacity(job.spec, host), Math.min(maxTasks, zoneLimit));
+            job.spec
+                .resources()
+                .countIn(freeCapacity(job.spec, host), Math.min(maxTasks, zoneLimit));
         tasksPerZone.merge(zone, fitting, Integer::sum);
         count += fitting;
       }
@@ -107,41 +111,41 @@
   /** Whether one more task of a job is allowed on a machine and fits there. */
   boolean fits(JobIndex.Job job, Host host) {
     return isSuitable(job.spec, host, tasksPerZone(job))
-        && job.spec.room().fits(freeCapacity(job.spec, host));
+        && job.spec.resources().fitsInto(freeCapacity(job.spec, host));
   }
 
   private Map<String, Integer> tasksPerZone(JobIndex.Job job) {
     Map<String, Integer> tasksPerZone = new HashMap<>();
-    for (Place place : job.places()) {
+    for (TaskPlacement place : job.places()) {
       BlockIndex.Block block = cluster.blocks.blockOf(place.host());
       if (block != null) {
-        tasksPerZone.merge(block.record().blockClass().hall(), 1, Integer::sum);
+        tasksPerZone.merge(block.record().blockClass().zone(), 1, Integer::sum);
       }
     }
     return tasksPerZone;
   }
 
   private boolean isSuitable(JobSpec spec, Host host, Map<String, Integer> tasksPerZone) {
-    String zone = host.blockClass.hall();
+    String zone = host.blockClass.zone();
     boolean otherZone =
-        spec.samePlace() && !tasksPerZone.isEmpty() && !tasksPerZone.containsKey(zone);
+        spec.sameZone() && !tasksPerZone.isEmpty() && !tasksPerZone.containsKey(zone);
     return !otherZone
-        && tasksPerZone.getOrDefault(zone, 0) < spec.zoneMost()
-        && spec.allows(host.blockClass.flavour(), zone, host.blockClass.lendable())
-        && (!host.blockClass.lendable() || cluster.allowsSpot(spec));
+        && tasksPerZone.getOrDefault(zone, 0) < spec.maxTasksPerZone()
+        && spec.allows(host.blockClass.machineType(), zone, host.blockClass.preemptible())
+        && (!host.blockClass.preemptible() || cluster.allowsSpot(spec));
   }
 
   /**
    * Resources free for a job: on machines with services, the operators' reserve is for services
    * only.
    */
-  private Room freeCapacity(JobSpec spec, Host host) {
+  private Resources freeCapacity(JobSpec spec, Host host) {
     if (!host.hasServices || spec.rank() == Rank.PROD) {
       return host.free;
     }
-    MachineType type = cluster.machineTypes.get(host.blockClass.flavour());
+    MachineType type = cluster.machineTypes.get(host.blockClass.machineType());
     double reserve =
-        cluster.policy.reserve(type, host.blockClass.hall(), host.blockClass.lendable());
-    return host.free.minus(new Room((long) (type.room().cpu() * reserve), 0, 0));
+        cluster.policy.reserve(type, host.blockClass.zone(), host.blockClass.preemptible());
+    return host.free.minus(new Resources((long) (type.resources().cpu() * reserve), 0, 0));
   }
 }
--- a/src/main/java/dunlincroft/coordination/ReplicaHeadroom.java
+++ b/src/main/java/dunlincroft/coordination/ReplicaHeadroom.java
@@ -8,8 +8,8 @@
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.JobSpec.Rank;
 import dunlincroft.protocol.MachineType;
-import dunlincroft.protocol.Room;
-import dunlincroft.protocol.TaskState.Place;
+import dunlincroft.protocol.Resources;
+import dunlincroft.protocol.TaskState.TaskPlacement;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -53,9 +53,9 @@
     /** The shard that owns the machine; null if it may be given to any shard. */
     final String shard;
 
-    Room free;
+    Resources free;
 
-    Bin(String host, BlockClass blockClass, String shard, Room free) {
+    Bin(String host, BlockClass blockClass, String shard, Resources free) {
       this.host = host;
       this.blockClass = blockClass;
       this.shard = shard;
@@ -94,7 +94,7 @@
     List<Bin> bins = bins(lostHosts, provisioning);
     Assessment assessment =
         new Assessment(new HashMap<>(), new HashSet<>(), new HashSet<>(), new HashSet<>());
-    Map<String, Room> remainingLimits = remainingLimits();
+    Map<String, Resources> remainingLimits = remainingLimits();
     int checksLeft = Constants.REPLICAS_LOOKED_AT;
     for (JobIndex.Job job : waiting) {
       if (checksLeft > 0) {
@@ -141,7 +141,7 @@
     return bins.stream()
         .filter(bin -> bin.shard == null || bin.shard.equals(job.shard))
         .filter(bin -> bin.blockClass.equals(blockClass))
-        .filter(bin -> job.spec.room().fits(bin.free))
+        .filter(bin -> job.spec.resources().fitsInto(bin.free))
         .findFirst()
         .orElse(null);
   }
@@ -166,7 +166,7 @@
     List<JobIndex.Job> waiting = new ArrayList<>();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
       JobSpec spec = job.spec;
-      if (spec.daemon()
+      if (spec.isService()
           && spec.rank() == Rank.PROD
           && missingReplicas(job, lostHosts) > 0
           && !job.faulty()
@@ -177,31 +177,30 @@
       }
     }
     waiting.sort(
-        Comparator.comparingLong((JobIndex.Job job) -> -job.spec.room().cpu())
+        Comparator.comparingLong((JobIndex.Job job) -> -job.spec.resources().cpu())
             .thenComparing(job -> job.spec.ref()));
     return waiting;
   }
 
   private static int missingReplicas(JobIndex.Job job, Set<String> lostHosts) {
     int count = job.runnableTasks() - job.placedCount();
-    for (Place place : job.places()) {
+    for (TaskPlacement place : job.places()) {
       count += lostHosts.contains(place.host()) ? 1 : 0;
     }
     return count;
   }
 
   /** What each team's limit leaves for replicas that are not placed. */
-  private Map<String, Room> remainingLimits() {
-    Map<String, Room> remainingLimits = new HashMap<>();
+  private Map<String, Resources> remainingLimits() {
+    Map<String, Resources> remainingLimits = new HashMap<>();
     cluster
         .settings
         .teams()
         .values()
         .forEach(team -> remainingLimits.put(team.name(), team.limit()));
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
-      Room used = job.spec.room().times(job.placedCount());
-      remainingLimits.computeIfPresent(
-          job.spec.owner(), (team, remaining) -> remaining.minus(used));
+      Resources used = job.spec.resources().times(job.placedCount());
+      remainingLimits.computeIfPresent(job.spec.team(), (team, remaining) -> remaining.minus(used));
     }
     return remainingLimits;
   }
@@ -209,15 +208,15 @@
   // ---- machines ----
 
   private List<Bin> bins(Set<String> lostHosts, Map<BlockClass, Integer> provisioning) {
-    Map<String, Room> usedByHost = usedByServices();
-    Map<BlockClass, Room> capacities = new HashMap<>();
+    Map<String, Resources> usedByHost = usedByServices();
+    Map<BlockClass, Resources> capacities = new HashMap<>();
     List<Bin> bins = new ArrayList<>();
     for (BlockIndex.Block block : cluster.blocks.all()) {
       BlockClass blockClass = block.record().blockClass();
-      Room capacity = capacities.computeIfAbsent(blockClass, this::serviceCapacity);
+      Resources capacity = capacities.computeIfAbsent(blockClass, this::serviceCapacity);
       for (String host : block.record().hosts().keySet()) {
         if (!lostHosts.contains(host)) {
-          Room free = capacity.minus(usedByHost.getOrDefault(host, Room.NONE));
+          Resources free = capacity.minus(usedByHost.getOrDefault(host, Resources.NONE));
           bins.add(new Bin(host, blockClass, block.record().shard(), free));
         }
       }
@@ -232,12 +231,12 @@
   }
 
   /** Resources taken by work that does not yield to services, by machine. */
-  private Map<String, Room> usedByServices() {
-    Map<String, Room> usedByHost = new HashMap<>();
+  private Map<String, Resources> usedByServices() {
+    Map<String, Resources> usedByHost = new HashMap<>();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
-      if (job.spec.rank() == Rank.PROD || job.spec.daemon()) {
-        for (Place place : job.places()) {
-          usedByHost.merge(place.host(), job.spec.room(), Room::plus);
+      if (job.spec.rank() == Rank.PROD || job.spec.isService()) {
+        for (TaskPlacement place : job.places()) {
+          usedByHost.merge(place.host(), job.spec.resources(), Resources::plus);
         }
       }
     }
@@ -245,13 +244,14 @@
   }
 
   /** Capacity of a machine for services, less what the operators' load bound keeps free. */
-  private Room serviceCapacity(BlockClass blockClass) {
-    MachineType type = cluster.machineTypes.get(blockClass.flavour());
+  private Resources serviceCapacity(BlockClass blockClass) {
+    MachineType type = cluster.machineTypes.get(blockClass.machineType());
     if (type == null) {
-      return Room.NONE;
+      return Resources.NONE;
     }
-    double bound = cluster.policy.bound(type, blockClass.hall(), blockClass.lendable());
-    return type.room().minus(new Room((long) (type.room().cpu() * (1 - bound)), 0, 0));
+    double bound = cluster.policy.bound(type, blockClass.zone(), blockClass.preemptible());
+    return type.resources()
+        .minus(new Resources((long) (type.resources().cpu() * (1 - bound)), 0, 0));
   }
 
   // ---- bin packing ----
@@ -261,20 +261,20 @@
       JobIndex.Job job,
       Set<String> lostHosts,
       List<Bin> bins,
-      Map<String, Room> remainingLimits,
+      Map<String, Resources> remainingLimits,
       Predicate<BlockClass> unavailable,
       Assessment assessment) {
     JobSpec spec = job.spec;
-    Settings.Team team = cluster.settings.teams().get(spec.owner());
+    Settings.Team team = cluster.settings.teams().get(spec.team());
     if (team == null) {
       return 0;
     }
     Map<String, Integer> replicasPerZone = replicasPerZone(job, lostHosts);
     int replicasToMove = replicasToMove(job, lostHosts);
     int newReplicas =
-        spec.room()
+        spec.resources()
             .countIn(remainingLimits.get(team.name()), job.runnableTasks() - job.placedCount());
-    remainingLimits.merge(team.name(), spec.room().times(newReplicas), Room::minus);
+    remainingLimits.merge(team.name(), spec.resources().times(newReplicas), Resources::minus);
     int number = Math.min(replicasToMove + newReplicas, Constants.REPLICAS_LOOKED_AT);
     for (int i = 0; i < number; i++) {
       Bin bin = bestBin(job, bins, replicasPerZone);
@@ -289,8 +289,8 @@
       } else if (bin.host != null) {
         assessment.reservedHosts.add(bin.host);
       }
-      bin.free = bin.free.minus(spec.room());
-      replicasPerZone.merge(bin.blockClass.hall(), 1, Integer::sum);
+      bin.free = bin.free.minus(spec.resources());
+      replicasPerZone.merge(bin.blockClass.zone(), 1, Integer::sum);
     }
     return number;
   }
@@ -298,11 +298,11 @@
   /** Replicas of a service that stay where they are, by zone. */
   private Map<String, Integer> replicasPerZone(JobIndex.Job job, Set<String> lostHosts) {
     Map<String, Integer> replicasPerZone = new HashMap<>();
-    for (Place place : job.places()) {
+    for (TaskPlacement place : job.places()) {
       BlockIndex.Block block =
           lostHosts.contains(place.host()) ? null : cluster.blocks.blockOf(place.host());
       if (block != null) {
-        replicasPerZone.merge(block.record().blockClass().hall(), 1, Integer::sum);
+        replicasPerZone.merge(block.record().blockClass().zone(), 1, Integer::sum);
       }
     }
     return replicasPerZone;
@@ -312,7 +312,7 @@
   private Bin bestBin(JobIndex.Job job, List<Bin> bins, Map<String, Integer> replicasPerZone) {
     Bin best = null;
     for (Bin bin : bins) {
-      if (job.spec.room().fits(bin.free)
+      if (job.spec.resources().fitsInto(bin.free)
           && (bin.shard == null || bin.shard.equals(job.shard))
           && isSuitable(job.spec, bin.blockClass, replicasPerZone)
           && (best == null
@@ -324,18 +324,18 @@
   }
 
   private static int replicasIn(Map<String, Integer> replicasPerZone, Bin bin) {
-    return replicasPerZone.getOrDefault(bin.blockClass.hall(), 0);
+    return replicasPerZone.getOrDefault(bin.blockClass.zone(), 0);
   }
 
   private boolean isSuitable(
       JobSpec spec, BlockClass blockClass, Map<String, Integer> replicasPerZone) {
-    String zone = blockClass.hall();
+    String zone = blockClass.zone();
     boolean otherZone =
-        spec.samePlace() && !replicasPerZone.isEmpty() && !replicasPerZone.containsKey(zone);
+        spec.sameZone() && !replicasPerZone.isEmpty() && !replicasPerZone.containsKey(zone);
     return !otherZone
-        && replicasPerZone.getOrDefault(zone, 0) < spec.zoneMost()
-        && spec.allows(blockClass.flavour(), zone, blockClass.lendable())
-        && (!blockClass.lendable() || cluster.allowsSpot(spec));
+        && replicasPerZone.getOrDefault(zone, 0) < spec.maxTasksPerZone()
+        && spec.allows(blockClass.machineType(), zone, blockClass.preemptible())
+        && (!blockClass.preemptible() || cluster.allowsSpot(spec));
   }
 
   /**
@@ -349,12 +349,12 @@
       return null;
     }
     Bin best = null;
-    for (String zone : type.halls()) {
+    for (String zone : type.zones()) {
       BlockClass blockClass = new BlockClass(type.label(), zone, false);
       Bin bin = new Bin(null, blockClass, job.shard, serviceCapacity(blockClass));
       if (!excluded.test(blockClass)
           && isSuitable(job.spec, blockClass, replicasPerZone)
-          && job.spec.room().fits(bin.free)
+          && job.spec.resources().fitsInto(bin.free)
           && (best == null
               || replicasIn(replicasPerZone, bin) < replicasIn(replicasPerZone, best))) {
         best = bin;
--- a/src/main/java/dunlincroft/coordination/ReportHandler.java
+++ b/src/main/java/dunlincroft/coordination/ReportHandler.java
@@ -1,10 +1,10 @@
 package dunlincroft.coordination;
 
 import dunlincroft.Constants;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import dunlincroft.protocol.Wire;
 import dunlincroft.protocol.WorkerReport;
-import dunlincroft.protocol.WorkerReport.Piece;
+import dunlincroft.protocol.WorkerReport.TaskReport;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -65,23 +65,23 @@
     onReachable(machine);
     machine.session.onReport(report, cluster.now());
     machine.endpoint = report.endpoint();
-    if (report.warningS() != WorkerReport.NO_WARNING && machine.drainReason == null) {
-      onReclaimNotice(machine, report.warningS());
+    if (report.reclaimNoticeS() != WorkerReport.NO_RECLAIM_NOTICE && machine.drainReason == null) {
+      onReclaimNotice(machine, report.reclaimNoticeS());
     }
-    machine.reportedTasks = report.pieces();
+    machine.reportedTasks = report.tasks();
     machine.placements.values().forEach(placement -> placement.inLastReport = false);
-    Room orphanedResources = Room.NONE;
-    for (Piece reportedTask : report.pieces()) {
+    Resources orphanedResources = Resources.NONE;
+    for (TaskReport reportedTask : report.tasks()) {
       Placement placement = machine.placements.get(reportedTask.id());
       if (placement != null && placement.attempt == reportedTask.attempt()) {
         placement.inLastReport = true;
         updatePlacement(machine, placement, reportedTask);
       } else {
         JobRun job = cluster.jobs.get(reportedTask.job());
-        if (reportedTask.exited() && Wire.DONE.equals(reportedTask.cause()) && job != null) {
+        if (reportedTask.hasExited() && Wire.DONE.equals(reportedTask.cause()) && job != null) {
           onDoneByOlderAttempt(job, reportedTask.task());
-        } else if (!reportedTask.exited() && job != null) {
-          orphanedResources = orphanedResources.plus(job.spec.room());
+        } else if (!reportedTask.hasExited() && job != null) {
+          orphanedResources = orphanedResources.plus(job.spec.resources());
         }
       }
     }
@@ -108,7 +108,7 @@
     cluster.placementDue = true;
     for (Placement placement : machine.placements.values()) {
       double remainingS =
-          placement.job.spec.expectS() - (cluster.now() - placement.placedAtMs) / 1000.0;
+          placement.job.spec.estimatedRunS() - (cluster.now() - placement.placedAtMs) / 1000.0;
       // The machine may be reclaimed after only half of the announced time. Tasks that will not end
       // within that time are moved at once.
       if (remainingS > warningS / 2) {
@@ -118,14 +118,14 @@
   }
 
   /** Updates a placement from a report that contains its task. */
-  private void updatePlacement(Machine machine, Placement placement, Piece reportedTask) {
+  private void updatePlacement(Machine machine, Placement placement, TaskReport reportedTask) {
     boolean started =
         placement.reportedStatus == null || !placement.reportedStatus.equals(Wire.RUNNING);
     placement.reportedStatus = reportedTask.status();
     placement.orderSent = true;
-    if (!reportedTask.exited()) {
+    if (!reportedTask.hasExited()) {
       if (started && reportedTask.status().equals(Wire.RUNNING)) {
-        machine.markImageCached(placement.job.spec.bundle());
+        machine.markImageCached(placement.job.spec.image());
         placement.runningSinceMs = cluster.now();
         cluster.metrics.recordStart(placement, cluster.now());
       } else if (reportedTask.status().equals(Wire.RUNNING)
@@ -141,8 +141,8 @@
       return;
     }
     String cause = reportedTask.cause() == null ? "" : reportedTask.cause();
-    if (cause.equals(Wire.DONE) && !placement.job.spec.daemon()) {
-      machine.markImageCached(placement.job.spec.bundle());
+    if (cause.equals(Wire.DONE) && !placement.job.spec.isService()) {
+      machine.markImageCached(placement.job.spec.image());
       machine.consecutiveFailures = 0;
       machine.failedJobs.clear();
       faultAttribution.onRanWell(placement);
@@ -165,7 +165,7 @@
         // fence is raised first.
         return;
       }
-      if (cause.equals(Wire.FULL)) {
+      if (cause.equals(Wire.NO_CAPACITY)) {
         machine.avoidUntilMs = cluster.now() + Constants.DOUBT_MS;
       } else if (!cause.equals(Wire.STOPPED)) {
         faultAttribution.onFailure(machine, placement);
@@ -179,12 +179,12 @@
    * A task that is placed again is left to its current attempt.
    */
   private void onDoneByOlderAttempt(JobRun job, int task) {
-    if (job.done.get(task) || task >= job.spec.pieces() || job.spec.daemon()) {
+    if (job.done.get(task) || task >= job.spec.taskCount() || job.spec.isService()) {
       return;
     }
     Placement currentPlacement = job.placed.get(task);
     if (currentPlacement == null) {
-      LOG.debug("{} is done by an older attempt", Wire.piece(job.id, task));
+      LOG.debug("{} is done by an older attempt", Wire.taskId(job.id, task));
       job.markDone(task);
       placementLog.markDirty(job, task, false);
     }
--- a/src/main/java/dunlincroft/coordination/Reservations.java
+++ b/src/main/java/dunlincroft/coordination/Reservations.java
@@ -1,7 +1,7 @@
 package dunlincroft.coordination;
 
 import dunlincroft.protocol.JobSpec.Rank;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -17,22 +17,22 @@
  * capacity first uses it.
  */
 final class Reservations {
-  private record Reservation(Machine machine, Room resources) {}
+  private record Reservation(Machine machine, Resources resources) {}
 
   private final Map<JobRun, List<Reservation>> byJob = new HashMap<>();
-  private final Map<Machine, Room> byMachine = new HashMap<>();
+  private final Map<Machine, Resources> byMachine = new HashMap<>();
 
   /** Resources reserved on a machine. */
-  Room reservedOn(Machine machine) {
-    return byMachine.getOrDefault(machine, Room.NONE);
+  Resources reservedOn(Machine machine) {
+    return byMachine.getOrDefault(machine, Resources.NONE);
   }
 
   /** Reserves resources for a number of a job's tasks on a machine. */
   void reserve(JobRun job, Machine machine, int tasks) {
     if (tasks > 0) {
-      Room resources = job.spec.room().times(tasks);
+      Resources resources = job.spec.resources().times(tasks);
       byJob.computeIfAbsent(job, j -> new ArrayList<>()).add(new Reservation(machine, resources));
-      byMachine.merge(machine, resources, Room::plus);
+      byMachine.merge(machine, resources, Resources::plus);
     }
   }
 
@@ -41,8 +41,8 @@
     List<Reservation> released = byJob.remove(job);
     if (released != null) {
       for (Reservation reservation : released) {
-        Room remaining = reservedOn(reservation.machine).minus(reservation.resources);
-        if (remaining.equals(Room.NONE)) {
+        Resources remaining = reservedOn(reservation.machine).minus(reservation.resources);
+        if (remaining.equals(Resources.NONE)) {
           byMachine.remove(reservation.machine);
         } else {
           byMachine.put(reservation.machine, remaining);
--- a/src/main/java/dunlincroft/coordination/Scheduler.java
+++ b/src/main/java/dunlincroft/coordination/Scheduler.java
@@ -8,7 +8,7 @@
 import dunlincroft.coordination.Machine.ImageState;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.JobSpec.Rank;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -69,13 +69,14 @@
     long now = cluster.now();
     roundStartMs = now;
     Set<Machine> machinesWithStops = new LinkedHashSet<>();
-    Map<String, Room> remainingShares = new HashMap<>();
-    Map<String, Room> usageByLimit = new HashMap<>();
+    Map<String, Resources> remainingShares = new HashMap<>();
+    Map<String, Resources> usageByLimit = new HashMap<>();
     Set<String> expeditedTeams = new HashSet<>();
     List<JobRun> waiting = new ArrayList<>();
     for (JobRun job : cluster.jobs.values()) {
       if (job.chargedTaskCount() > 0) {
-        usageByLimit.merge(job.limitKey, job.spec.room().times(job.chargedTaskCount()), Room::plus);
+        usageByLimit.merge(
+            job.limitKey, job.spec.resources().times(job.chargedTaskCount()), Resources::plus);
       }
       if (job.cancelled || job.finishing || job.waitingTaskCount() == 0) {
         job.waitingSince = -1;
@@ -96,26 +97,27 @@
     unplaceable.clear();
     markAvailableMachines(waiting);
     for (JobRun job : waiting) {
-      Room remaining =
+      Resources remaining =
           remainingShares.computeIfAbsent(
               job.limitKey,
               key ->
                   cluster
-                      .usableShare(job.spec.owner(), job.shard)
-                      .minus(usageByLimit.getOrDefault(key, Room.NONE)));
-      int maxStarts = job.spec.room().countIn(remaining, job.waitingTaskCount());
+                      .usableShare(job.spec.team(), job.shard)
+                      .minus(usageByLimit.getOrDefault(key, Resources.NONE)));
+      int maxStarts = job.spec.resources().countIn(remaining, job.waitingTaskCount());
       if (job.faulty) {
         maxStarts = Math.max(0, Math.min(maxStarts, 1 - job.placed.size()));
       }
-      if (maxStarts < job.waitingTaskCount() && expeditedTeams.add(job.spec.owner())) {
-        placementLog.expedite(job.spec.owner());
+      if (maxStarts < job.waitingTaskCount() && expeditedTeams.add(job.spec.team())) {
+        placementLog.expedite(job.spec.team());
       }
       if (job.overdueAcceptedAt < Long.MAX_VALUE && !job.hasStarted()) {
         // An overdue job only needs to start: if a large one placed all its tasks now, it would
         // delay the jobs after it.
         maxStarts =
             Math.min(
-                maxStarts, (job.spec.pieces() + OVERDUE_START_DIVISOR - 1) / OVERDUE_START_DIVISOR);
+                maxStarts,
+                (job.spec.taskCount() + OVERDUE_START_DIVISOR - 1) / OVERDUE_START_DIVISOR);
       }
       if (job.mustAwaitLog()) {
         placementLog.expedite(job);
@@ -128,7 +130,7 @@
                   ? placeJob(job, maxStarts, now)
                   : placeByMigrationSide(job, maxStarts);
       if (placed > 0) {
-        remainingShares.put(job.limitKey, remaining.minus(job.spec.room().times(placed)));
+        remainingShares.put(job.limitKey, remaining.minus(job.spec.resources().times(placed)));
       }
       if (placed == maxStarts) {
         job.waitingSince = -1;
@@ -150,9 +152,9 @@
    * other machines cheaply, as free capacity only shrinks within a round.
    */
   private void markAvailableMachines(List<JobRun> waiting) {
-    Room smallest = waiting.get(0).spec.room();
+    Resources smallest = waiting.get(0).spec.resources();
     for (JobRun job : waiting) {
-      smallest = job.spec.room().cpu() < smallest.cpu() ? job.spec.room() : smallest;
+      smallest = job.spec.resources().cpu() < smallest.cpu() ? job.spec.resources() : smallest;
     }
     anyMachineAvailable = false;
     for (Machine machine : cluster.machines.values()) {
@@ -182,20 +184,22 @@
   private Set<String> computeGuaranteedJobIds() {
     List<JobIndex.Job> byAge = new ArrayList<>(cluster.jobIndex.all().values());
     byAge.sort(Comparator.comparingLong((JobIndex.Job job) -> job.acceptedAt));
-    Map<String, Room> usageByTeam = new HashMap<>();
+    Map<String, Resources> usageByTeam = new HashMap<>();
     Set<String> guaranteedIds = new HashSet<>();
     for (JobIndex.Job job : byAge) {
-      Settings.Team team = cluster.settings.teams().get(job.spec.owner());
+      Settings.Team team = cluster.settings.teams().get(job.spec.team());
       if (team == null
           || cluster.replica.get(Replica.CANCELS, job.spec.ref()) != null
           || !cluster.needsMachines(job.spec)) {
         continue;
       }
       long openTasks = job.runnableTasks();
-      Room sum =
-          usageByTeam.getOrDefault(team.name(), Room.NONE).plus(job.spec.room().times(openTasks));
+      Resources sum =
+          usageByTeam
+              .getOrDefault(team.name(), Resources.NONE)
+              .plus(job.spec.resources().times(openTasks));
       usageByTeam.put(team.name(), sum);
-      if (sum.fits(team.guarantee()) && !job.faulty()) {
+      if (sum.fitsInto(team.guarantee()) && !job.faulty()) {
         guaranteedIds.add(job.spec.ref());
       }
     }
@@ -240,16 +244,17 @@
    */
   private double slack(JobRun job, long wallMs) {
     double ageS = (wallMs - job.acceptedAt) / 1000.0;
-    double slackS = job.spec.dueS() - job.spec.expectS() - ageS;
+    double slackS = job.spec.deadlineS() - job.spec.estimatedRunS() - ageS;
     if (job.deadlineMs < Long.MAX_VALUE) {
-      slackS = Math.min(slackS, (job.deadlineMs - wallMs) / 1000.0 - job.spec.expectS());
+      slackS = Math.min(slackS, (job.deadlineMs - wallMs) / 1000.0 - job.spec.estimatedRunS());
     }
-    if (slackS < -job.spec.expectS() / 2) {
-      slackS = JobSpec.NO_DUE;
+    if (slackS < -job.spec.estimatedRunS() / 2) {
+      slackS = JobSpec.NO_DEADLINE;
     }
     for (Settings.Hope hope : cluster.settings.hopes()) {
-      double secondsLeft = hope.withinS() - job.spec.expectS() - ageS;
-      if (hope.jobclass().equals(job.spec.jobclass()) && secondsLeft > -job.spec.expectS() / 2) {
+      double secondsLeft = hope.withinS() - job.spec.estimatedRunS() - ageS;
+      if (hope.jobclass().equals(job.spec.jobclass())
+          && secondsLeft > -job.spec.estimatedRunS() / 2) {
         slackS = Math.min(slackS, secondsLeft);
       }
     }
@@ -259,8 +264,9 @@
   // ---- choosing machines ----
 
   /** Free capacity for a job's tasks on a machine, or null if the machine is not suitable. */
-  private Room usableCapacity(JobRun job, Machine machine) {
-    return machine.mayFit(job.spec.room(), reservedCpu(job, machine)) && isSuitable(job, machine)
+  private Resources usableCapacity(JobRun job, Machine machine) {
+    return machine.mayFit(job.spec.resources(), reservedCpu(job, machine))
+            && isSuitable(job, machine)
         ? freeCapacity(job, machine)
         : null;
   }
@@ -273,8 +279,8 @@
         && !machine.failedJobs.contains(job.id);
   }
 
-  private Room freeCapacity(JobRun job, Machine machine) {
-    return machine.free().minus(new Room(reservedCpu(job, machine), 0, 0));
+  private Resources freeCapacity(JobRun job, Machine machine) {
+    return machine.free().minus(new Resources(reservedCpu(job, machine), 0, 0));
   }
 
   private long reservedCpu(JobRun job, Machine machine) {
@@ -288,11 +294,12 @@
       boolean service,
       List<String> types,
       String zone,
-      Room resources) {
+      Resources resources) {
     static PlacementRequest of(JobRun job, boolean spot) {
       JobSpec spec = job.spec;
       boolean prod = spec.rank() == Rank.PROD;
-      return new PlacementRequest(job.shard, spot, prod, spec.flavours(), spec.hall(), spec.room());
+      return new PlacementRequest(
+          job.shard, spot, prod, spec.machineTypes(), spec.requiredZone(), spec.resources());
     }
 
     /** Whether no machine for this request implies that there is none for the other one. */
@@ -302,7 +309,7 @@
           && service == other.service
           && Objects.equals(types, other.types)
           && Objects.equals(zone, other.zone)
-          && resources.fits(other.resources);
+          && resources.fitsInto(other.resources);
     }
   }
 
@@ -343,11 +350,11 @@
       return 0;
     }
     int placed = 0;
-    if (job.spec.samePlace() && job.spec.pieces() > 1) {
+    if (job.spec.sameZone() && job.spec.taskCount() > 1) {
       String zone = commonZone(job, ordered);
       ordered = ordered.stream().filter(machine -> machine.zone.equals(zone)).toList();
     }
-    if (job.spec.spread() && job.spec.pieces() > 1) {
+    if (job.spec.spreadZones() && job.spec.taskCount() > 1) {
       Collection<List<Machine>> groups = groupByImageState(job, ordered);
       while (placed < maxTasks && placeSpread(job, groups, now)) {
         placed++;
@@ -377,7 +384,7 @@
   private Collection<List<Machine>> groupByImageState(JobRun job, List<Machine> ordered) {
     Map<ImageState, List<Machine>> groups = new EnumMap<>(ImageState.class);
     for (Machine machine : ordered) {
-      ImageState imageState = machine.imageState(job.spec.bundle());
+      ImageState imageState = machine.imageState(job.spec.image());
       if (imageState != ImageState.CONTENDED || mayStartConcurrentFetch(job)) {
         groups.computeIfAbsent(imageState, w -> new ArrayList<>()).add(machine);
       }
@@ -396,13 +403,13 @@
     List<Machine> preferred = new ArrayList<>();
     List<Machine> acceptable = new ArrayList<>();
     List<Machine> lastResort = new ArrayList<>();
-    for (Machine machine : cluster.preferenceList(job.spec.bundle())) {
-      Room free = machine.isCandidate ? usableCapacity(job, machine) : null;
-      if (free == null || !job.spec.room().fits(free)) {
+    for (Machine machine : cluster.preferenceList(job.spec.image())) {
+      Resources free = machine.isCandidate ? usableCapacity(job, machine) : null;
+      if (free == null || !job.spec.resources().fitsInto(free)) {
         continue;
       }
-      if (job.spec.daemon()) {
-        boolean leavesFailoverCapacity = machine.leavesZoneFailoverCapacity(job.spec.room());
+      if (job.spec.isService()) {
+        boolean leavesFailoverCapacity = machine.leavesZoneFailoverCapacity(job.spec.resources());
         (!machine.hasService() ? acceptable : leavesFailoverCapacity ? preferred : lastResort)
             .add(machine);
       } else if (spot) {
@@ -432,22 +439,22 @@
    * many it placed.
    */
   private int fill(JobRun job, Machine machine, int maxTasks, boolean buffered, long now) {
-    Room free = usableCapacity(job, machine);
+    Resources free = usableCapacity(job, machine);
     if (free == null) {
       return 0;
     }
     if (buffered) {
-      Room perTask = job.spec.room();
+      Resources perTask = job.spec.resources();
       double bufferFraction = cluster.env.random().nextDouble() * cluster.policy.buffer(job.spec);
       free =
           free.minus(
-              new Room(
+              new Resources(
                   (long) (perTask.cpu() * bufferFraction),
                   (long) (perTask.gpu() * bufferFraction),
                   (long) (perTask.ram() * bufferFraction)));
     }
-    int zoneLimit = job.spec.zoneMost() - job.tasksPerZone.getInt(machine.zone);
-    int fitting = job.spec.room().countIn(free, Math.min(maxTasks, zoneLimit));
+    int zoneLimit = job.spec.maxTasksPerZone() - job.tasksPerZone.getInt(machine.zone);
+    int fitting = job.spec.resources().countIn(free, Math.min(maxTasks, zoneLimit));
     if (fitting <= 0) {
       return 0;
     }
@@ -496,8 +503,8 @@
     Map<String, Integer> tasksPerZone = new HashMap<>();
     String best = ordered.get(0).zone;
     for (Machine machine : ordered) {
-      Room free = usableCapacity(job, machine);
-      int tasksHere = free == null ? 0 : job.spec.room().countIn(free, job.spec.pieces());
+      Resources free = usableCapacity(job, machine);
+      int tasksHere = free == null ? 0 : job.spec.resources().countIn(free, job.spec.taskCount());
       tasksPerZone.merge(machine.zone, tasksHere, Integer::sum);
       if (tasksPerZone.get(machine.zone) > tasksPerZone.getOrDefault(best, 0)) {
         best = machine.zone;
@@ -529,11 +536,12 @@
     job.nextPreemptionAt =
         now + (job.spec.rank() == Rank.PROD ? minWaitMs : Constants.PREEMPT_PAUSE_MS);
     reservations.release(job);
-    if (job.spec.spread() && job.spec.pieces() > 1) {
+    if (job.spec.spreadZones() && job.spec.taskCount() > 1) {
       // Capacity in a zone that already has its maximum of the job's tasks is of no use to the job.
       int remaining = tasksNeeded;
       for (String zone : zonesByTaskCount(job)) {
-        int maxTasks = Math.min(remaining, job.spec.zoneMost() - job.tasksPerZone.getInt(zone));
+        int maxTasks =
+            Math.min(remaining, job.spec.maxTasksPerZone() - job.tasksPerZone.getInt(zone));
         remaining -=
             maxTasks <= 0
                 ? 0
@@ -547,7 +555,7 @@
   /** Zones of all machine types, those with the fewest tasks of a job first. */
   private List<String> zonesByTaskCount(JobRun job) {
     return cluster.machineTypes.values().stream()
-        .flatMap(type -> type.halls().stream())
+        .flatMap(type -> type.zones().stream())
         .distinct()
         .sorted(Comparator.comparingInt(job.tasksPerZone::getInt))
         .toList();
@@ -615,7 +623,7 @@
     long rankPenalty = Rank.values().length - 1 - rank.ordinal();
     long imagePenalty = hasImage ? 0 : 1;
     long order =
-        job.spec.daemon()
+        job.spec.isService()
             ? imagePenalty * Rank.values().length + rankPenalty
             : 2 * rankPenalty + imagePenalty;
     return (order << LOST_WORK_BITS) + Math.min(lostMs, (1L << LOST_WORK_BITS) - 1);
@@ -637,16 +645,16 @@
       long now,
       int maxTasks,
       PriorityQueue<Eviction> bestEvictions) {
-    ImageState imageState = machine.imageState(job.spec.bundle());
+    ImageState imageState = machine.imageState(job.spec.image());
     if (imageState == ImageState.CONTENDED && !mayStartConcurrentFetch(job)) {
       return 0;
     }
-    Room taskResources = job.spec.room();
-    Room free = freeCapacity(job, machine).minus(reservations.reservedOn(machine));
+    Resources taskResources = job.spec.resources();
+    Resources free = freeCapacity(job, machine).minus(reservations.reservedOn(machine));
     List<Placement> victims = new ArrayList<>();
     for (Placement p : machine.placements.values()) {
       if (p.stopRequested) {
-        free = free.plus(p.job.spec.room());
+        free = free.plus(p.job.spec.resources());
       } else if (mayPreempt(job, guaranteed, p, guaranteedIds, now)) {
         victims.add(p);
       }
@@ -664,8 +672,8 @@
     for (Placement p : victims) {
       victimGroup.add(p);
       totalLostMs += lostWorkMs(p, now);
-      free = free.plus(p.job.spec.room());
-      if (taskResources.fits(free)) {
+      free = free.plus(p.job.spec.resources());
+      if (taskResources.fitsInto(free)) {
         long cost = cost(job, p.job.spec.rank(), imageState == ImageState.CACHED, totalLostMs);
         if (bestEvictions.size() < maxTasks || cost < bestEvictions.peek().cost) {
           bestEvictions.add(new Eviction(List.copyOf(victimGroup), cost));
@@ -688,22 +696,22 @@
   private boolean mayPreempt(
       JobRun job, boolean guaranteed, Placement p, Set<String> guaranteedIds, long now) {
     JobSpec victimSpec = p.job.spec;
-    if (victimSpec.rank() == Rank.PROD || victimSpec.daemon()) {
+    if (victimSpec.rank() == Rank.PROD || victimSpec.isService()) {
       return false;
     }
     if (job.spec.rank() == Rank.PROD) {
       return victimSpec.rank().compareTo(job.spec.rank()) > 0;
     }
     return guaranteed
-        && !victimSpec.owner().equals(job.spec.owner())
+        && !victimSpec.team().equals(job.spec.team())
         && !guaranteedIds.contains(p.job.id)
         && (canSaveState(p)
-            ? victimSpec.flushS() <= Constants.PREEMPT_SAVE_S
+            ? victimSpec.saveDurationS() <= Constants.PREEMPT_SAVE_S
             : lostWorkMs(p, now) <= cluster.preemptLossMs(p.job));
   }
 
   private static boolean canSaveState(Placement p) {
-    return p.job.spec.snapshotS() > 0;
+    return p.job.spec.snapshotIntervalS() > 0;
   }
 
   /**
@@ -711,6 +719,6 @@
    * time to save it.
    */
   private static long lostWorkMs(Placement p, long now) {
-    return canSaveState(p) ? (long) (p.job.spec.flushS() * 1000) : now - p.placedAtMs;
+    return canSaveState(p) ? (long) (p.job.spec.saveDurationS() * 1000) : now - p.placedAtMs;
   }
 }
--- a/src/main/java/dunlincroft/coordination/ShardLog.java
+++ b/src/main/java/dunlincroft/coordination/ShardLog.java
@@ -7,7 +7,7 @@
 import dunlincroft.bookkeeping.Replica;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.LogRecord;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.Wire;
 import java.util.TreeMap;
 
@@ -147,7 +147,7 @@
   }
 
   /** Whether the current slot is recorded exactly as it was written, and not by another owner. */
-  boolean isRecorded(JsonNode written) throws Malformed {
+  boolean isRecorded(JsonNode written) throws MalformedException {
     LogRecord recordedSlot = LogRecord.parse(Cbor.map().set("log", currentSlot.entries));
     return recordedSlot.equals(LogRecord.parse(written));
   }
--- a/src/main/java/dunlincroft/coordination/ShareHandover.java
+++ b/src/main/java/dunlincroft/coordination/ShareHandover.java
@@ -12,7 +12,7 @@
 import dunlincroft.limits.ShareRequest;
 import dunlincroft.limits.Transfer;
 import dunlincroft.protocol.JobSpec.Rank;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import dunlincroft.protocol.Wire;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -98,7 +98,7 @@
           && !demand.isCancelled(job.spec)
           && cluster.needsMachines(job.spec)
           && cluster.replica.get(Replica.SHARDS, job.shard) != null) {
-        waitingJobs.computeIfAbsent(job.spec.owner(), team -> new ArrayList<>()).add(job);
+        waitingJobs.computeIfAbsent(job.spec.team(), team -> new ArrayList<>()).add(job);
       }
     }
     waitingJobs.values().forEach(jobs -> jobs.sort(ORDER));
@@ -110,12 +110,12 @@
   /** Transfers that the plan asks of one of this node's shards now. */
   private List<Transfer> transfersFromOwnShard(
       String team, Item item, List<JobIndex.Job> waitingJobs, RecordedCapacity capacity) {
-    Map<String, Room> shares = recordedShares(item.data());
+    Map<String, Resources> shares = recordedShares(item.data());
     if (shares.size() < 2 && waitingJobs.stream().allMatch(job -> shares.containsKey(job.shard))) {
       return List.of();
     }
-    Map<String, Room> openWork = demand.resourcesByShard(team);
-    Map<String, Room> usage = usageByShard(team, shares.keySet());
+    Map<String, Resources> openWork = demand.resourcesByShard(team);
+    Map<String, Resources> usage = usageByShard(team, shares.keySet());
     openWork.keySet().removeIf(shard -> cluster.replica.get(Replica.SHARDS, shard) == null);
     List<ShareRequest> claims = claims(waitingJobs, shares, usage, capacity);
     List<Transfer> plan = SharePlan.transfers(shares, usage, openWork, claims);
@@ -138,13 +138,13 @@
     return List.of();
   }
 
-  private static Map<String, Room> recordedShares(JsonNode record) {
-    Map<String, Room> shares = new TreeMap<>();
+  private static Map<String, Resources> recordedShares(JsonNode record) {
+    Map<String, Resources> shares = new TreeMap<>();
     record
         .fieldNames()
         .forEachRemaining(
             shard -> {
-              Room share = ClusterState.recordedShare(record, shard);
+              Resources share = ClusterState.recordedShare(record, shard);
               if (share.cpu() > 0 || share.gpu() > 0) {
                 shares.put(shard, share);
               }
@@ -156,11 +156,11 @@
    * Resources that a team's tasks use, by shard: including unrecorded placements for shards of this
    * node, as recorded for all others.
    */
-  private Map<String, Room> usageByShard(String team, Set<String> shards) {
-    Map<String, Room> usage = new HashMap<>();
+  private Map<String, Resources> usageByShard(String team, Set<String> shards) {
+    Map<String, Resources> usage = new HashMap<>();
     for (JobIndex.Job job : cluster.jobIndex.all().values()) {
-      if (job.spec.owner().equals(team) && !cluster.owns(job.shard)) {
-        usage.merge(job.shard, job.spec.room().times(job.placedCount()), Room::plus);
+      if (job.spec.team().equals(team) && !cluster.owns(job.shard)) {
+        usage.merge(job.shard, job.spec.resources().times(job.placedCount()), Resources::plus);
       }
     }
     for (String shard : shards) {
@@ -174,8 +174,8 @@
   /** Waiting tasks that fit on machines of their shard, as far as is known. */
   private List<ShareRequest> claims(
       List<JobIndex.Job> waitingJobs,
-      Map<String, Room> shares,
-      Map<String, Room> usage,
+      Map<String, Resources> shares,
+      Map<String, Resources> usage,
       RecordedCapacity capacity) {
     List<ShareRequest> claims = new ArrayList<>();
     for (JobIndex.Job job : waitingJobs) {
@@ -185,18 +185,20 @@
       int waitingTasks = job.runnableTasks() - job.placedCount();
       int maxTasks = Math.min(waitingTasks, Constants.CLAIM_TASKS);
       int tasks = capacity.countFitting(job, job.shard, maxTasks);
-      Room unused =
-          shares.getOrDefault(job.shard, Room.NONE).minus(usage.getOrDefault(job.shard, Room.NONE));
-      boolean canStart = tasks > 0 && job.spec.room().countIn(withoutMemory(unused), 1) > 0;
+      Resources unused =
+          shares
+              .getOrDefault(job.shard, Resources.NONE)
+              .minus(usage.getOrDefault(job.shard, Resources.NONE));
+      boolean canStart = tasks > 0 && job.spec.resources().countIn(withoutMemory(unused), 1) > 0;
       if (tasks > 0 && !history.isDeferred(job, canStart)) {
-        claims.add(new ShareRequest(job.shard, withoutMemory(job.spec.room()), tasks));
+        claims.add(new ShareRequest(job.shard, withoutMemory(job.spec.resources()), tasks));
       }
     }
     return claims;
   }
 
-  private static Room withoutMemory(Room resources) {
-    return new Room(resources.cpu(), resources.gpu(), 0);
+  private static Resources withoutMemory(Resources resources) {
+    return new Resources(resources.cpu(), resources.gpu(), 0);
   }
 
   // ---- the write ----
@@ -210,14 +212,14 @@
     String from = ownTransfers.get(0).from();
     String key = Wire.key(Replica.SHARES, team);
     ObjectNode newRecord = ((ObjectNode) item.data()).deepCopy();
-    Room total = Room.NONE;
+    Resources total = Resources.NONE;
     Set<String> recipients = new HashSet<>();
     for (Transfer ownTransfer : ownTransfers) {
       addToShare(newRecord, ownTransfer.to(), ownTransfer.amount());
       total = total.plus(ownTransfer.amount());
       recipients.add(ownTransfer.to());
     }
-    addToShare(newRecord, from, Room.NONE.minus(total));
+    addToShare(newRecord, from, Resources.NONE.minus(total));
     cluster.outgoingShares.put(outgoingKey(team, from), total);
     Txn txn =
         new Txn()
@@ -230,8 +232,8 @@
         () -> cluster.outgoingShares.remove(outgoingKey(team, from)));
   }
 
-  private static void addToShare(ObjectNode sharesRecord, String shard, Room resources) {
-    Room sum = ClusterState.recordedShare(sharesRecord, shard).plus(resources);
+  private static void addToShare(ObjectNode sharesRecord, String shard, Resources resources) {
+    Resources sum = ClusterState.recordedShare(sharesRecord, shard).plus(resources);
     sharesRecord.putObject(shard).put("cpu", sum.cpu()).put("gpu", sum.gpu());
   }
 }
--- a/src/main/java/dunlincroft/coordination/StartConditions.java
+++ b/src/main/java/dunlincroft/coordination/StartConditions.java
@@ -74,7 +74,7 @@
     }
     if (candidate == null
         || !allRunning
-        || !job.spec.daemon()
+        || !job.spec.isService()
         || !hasCapacityToMove(job, candidate)) {
       return 0;
     }
@@ -90,13 +90,13 @@
     for (Machine machine : cluster.machines.values()) {
       boolean zoneAllowed =
           machine.zone.equals(p.machine.zone)
-              || job.tasksPerZone.getInt(machine.zone) < job.spec.zoneMost();
+              || job.tasksPerZone.getInt(machine.zone) < job.spec.maxTasksPerZone();
       found |=
           zoneAllowed
               && cluster.isUsable(machine)
               && cluster.allows(job, machine)
               && job.matchesSideFilter(machine)
-              && job.spec.room().fits(machine.free());
+              && job.spec.resources().fitsInto(machine.free());
     }
     job.filterBySide(-1);
     return found;
--- a/src/main/java/dunlincroft/coordination/StatusQuery.java
+++ b/src/main/java/dunlincroft/coordination/StatusQuery.java
@@ -21,7 +21,7 @@
 
     /** Whether the worker of the host itself answered. */
     boolean isFromHost() {
-      return WorkerReport.answers(host, reply.status(), reply.body());
+      return WorkerReport.isAnswerOf(host, reply.status(), reply.body());
     }
   }
 
--- a/src/main/java/dunlincroft/coordination/WorkerOrders.java
+++ b/src/main/java/dunlincroft/coordination/WorkerOrders.java
@@ -1,9 +1,9 @@
 package dunlincroft.coordination;
 
 import dunlincroft.Constants;
-import dunlincroft.protocol.Order;
 import dunlincroft.protocol.Wire;
-import dunlincroft.protocol.WorkerReport.Piece;
+import dunlincroft.protocol.WorkerOrder;
+import dunlincroft.protocol.WorkerReport.TaskReport;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -37,19 +37,19 @@
    * The orders for a worker, by its last report and the records. Starts under a condition are sent
    * only in answers to reports: these are never executed late, as direct commands may be.
    */
-  List<Order> forMachine(Machine machine, long fence, boolean isDirect) {
-    List<Order> orders = new ArrayList<>();
+  List<WorkerOrder> forMachine(Machine machine, long fence, boolean isDirect) {
+    List<WorkerOrder> orders = new ArrayList<>();
     boolean absenceProven = machine.session.isAbsenceProven();
     boolean needsProof = false;
-    for (Piece reported : machine.reportedTasks) {
+    for (TaskReport reported : machine.reportedTasks) {
       Placement placement = machine.placements.get(reported.id());
       if (placement != null && placement.attempt == reported.attempt()) {
-        needsProof |= reported.exited();
-        if (placement.stopRequested && !reported.exited()) {
+        needsProof |= reported.hasExited();
+        if (placement.stopRequested && !reported.hasExited()) {
           boolean isSaving = reported.status().equals(Wire.SAVING);
           if (!isSaving || placement.job.stopMode() == JobRun.StopMode.ABANDON) {
             orders.add(
-                Order.kill(
+                WorkerOrder.kill(
                     reported.id(), reported.attempt(), isSaving ? 0 : placement.stopGraceS()));
           }
         }
@@ -58,17 +58,17 @@
       if (!cluster.feed.synced() || hasUnsettledRecord(reported)) {
         continue;
       }
-      if (!reported.exited()) {
+      if (!reported.hasExited()) {
         LOG.info(
             "host {} runs orphaned task {} attempt {}: stopping it",
             machine.host,
             reported.id(),
             reported.attempt());
-        orders.add(Order.kill(reported.id(), reported.attempt(), 0));
+        orders.add(WorkerOrder.kill(reported.id(), reported.attempt(), 0));
       } else if (absenceProven) {
         // Once the worker has discarded the ended task, a delayed order to run the same attempt
         // would start it again; hence the proof that no such order is in flight.
-        orders.add(Order.reap(reported.id(), reported.attempt()));
+        orders.add(WorkerOrder.discard(reported.id(), reported.attempt()));
       } else {
         needsProof = true;
       }
@@ -89,7 +89,7 @@
             continue;
           }
           placement.orderSent = true;
-          orders.add(Order.run(placement.taskName(), placement.attempt));
+          orders.add(WorkerOrder.run(placement.taskName(), placement.attempt));
         } else {
           needsProof |= !absenceProven;
         }
@@ -121,11 +121,11 @@
   }
 
   /** Whether a record of this task is being written or belongs to a shard of another node. */
-  private boolean hasUnsettledRecord(Piece reported) {
+  private boolean hasUnsettledRecord(TaskReport reported) {
     JobRun job = cluster.jobs.get(reported.job());
     if (job == null) {
       return cluster.jobIndex.get(reported.job()) != null;
     }
-    return reported.task() >= job.spec.pieces() || !job.record.isClean(reported.task());
+    return reported.task() >= job.spec.taskCount() || !job.record.isClean(reported.task());
   }
 }
--- a/src/main/java/dunlincroft/documents/DocumentStore.java
+++ b/src/main/java/dunlincroft/documents/DocumentStore.java
@@ -8,7 +8,7 @@
 import dunlincroft.documents.Documents.Version;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.Fields;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.Wire;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -72,7 +72,7 @@
     return answer.status == 200 ? answer.body : null;
   }
 
-  private static long stamp(JsonNode item) throws Malformed {
+  private static long stamp(JsonNode item) throws MalformedException {
     return item == null ? 0 : Fields.count(item, "stamp");
   }
 
@@ -81,12 +81,12 @@
   }
 
   /** All versions of a document, the oldest first. */
-  public List<Version> history(String name) throws Unreachable, Malformed {
+  public List<Version> history(String name) throws Unreachable, MalformedException {
     return Documents.versions(data(read(Documents.manifestKey(name))));
   }
 
   /** Reads the text of a version. */
-  public String text(String name, Version version) throws Unreachable, Malformed {
+  public String text(String name, Version version) throws Unreachable, MalformedException {
     Map<String, JsonNode> pages = new LinkedHashMap<>();
     for (int page = 0; page < version.pages(); page++) {
       String key = Documents.pageKey(name, version.number(), page);
@@ -94,20 +94,21 @@
     }
     String text = Documents.text(name, version, pages::get);
     if (text == null) {
-      throw new Malformed("version " + version.number() + " of " + name + " has a missing page");
+      throw new MalformedException(
+          "version " + version.number() + " of " + name + " has a missing page");
     }
     return text;
   }
 
   /** Creates a record under a key that must not exist yet. */
   public void create(String name, String key, JsonNode data)
-      throws Unreachable, Malformed, Conflict {
+      throws Unreachable, MalformedException, Conflict {
     commit(name, Map.of(key, 0L), Map.of(key, data));
   }
 
   /** Writes a text as the newest version of a document; returns the version's number. */
   public long put(String name, String text, String author, long nowMs)
-      throws Unreachable, Malformed, Conflict {
+      throws Unreachable, MalformedException, Conflict {
     JsonNode currentManifest = read(Documents.manifestKey(name));
     List<Version> versions = new ArrayList<>(Documents.versions(data(currentManifest)));
     // Higher than the number of any leftover page of an interrupted put, so that none of those
@@ -132,7 +133,8 @@
   }
 
   /** The highest version number used by a version or by a leftover page. */
-  private long highestNumber(String name, List<Version> versions) throws Unreachable, Malformed {
+  private long highestNumber(String name, List<Version> versions)
+      throws Unreachable, MalformedException {
     long highest = versions.stream().mapToLong(Version::number).max().orElse(0);
     for (String key : pageKeys(name)) {
       highest = Math.max(highest, versionNumber(key));
@@ -146,7 +148,7 @@
     return Long.parseLong(parts[parts.length - 2]);
   }
 
-  private Set<String> pageKeys(String name) throws Unreachable, Malformed {
+  private Set<String> pageKeys(String name) throws Unreachable, MalformedException {
     Set<String> keys = new HashSet<>();
     String under = Wire.key(Replica.DOCUMENT_PAGES, name + "/");
     String path = Wire.KEYS + "?under=" + under + "&most=" + Constants.KEY_PAGE;
@@ -172,7 +174,8 @@
    * Removes pages below the newest version that no version refers to. The pages of a put in
    * progress have a higher number than all versions in the manifest and are kept.
    */
-  private void removeUnreferencedPages(String name) throws Unreachable, Malformed, Conflict {
+  private void removeUnreferencedPages(String name)
+      throws Unreachable, MalformedException, Conflict {
     List<Version> versions = history(name);
     long newest = versions.get(versions.size() - 1).number();
     Set<Long> referenced = new HashSet<>();
@@ -193,11 +196,11 @@
 
   /** Reads back whether a transaction was applied after its answer was lost. */
   private interface AppliedCheck {
-    boolean isApplied() throws Unreachable, Malformed;
+    boolean isApplied() throws Unreachable, MalformedException;
   }
 
   private void commit(String name, Map<String, Long> guards, Map<String, JsonNode> puts)
-      throws Unreachable, Malformed, Conflict {
+      throws Unreachable, MalformedException, Conflict {
     commit(name, guards, puts, () -> isApplied(puts));
   }
 
@@ -208,7 +211,7 @@
    */
   private void commit(
       String name, Map<String, Long> guards, Map<String, JsonNode> puts, AppliedCheck appliedCheck)
-      throws Unreachable, Malformed, Conflict {
+      throws Unreachable, MalformedException, Conflict {
     ObjectNode body = Cbor.map();
     ArrayNode checks = body.putArray("guards");
     guards.forEach((key, stamp) -> checks.addObject().put("key", key).put("stamp", stamp));
@@ -223,7 +226,7 @@
         });
     boolean outcomeUnknown = false;
     for (int tries = 0; tries < Constants.DOCUMENT_TRIES; tries++) {
-      Answer answer = client.call("POST", Wire.MULTI, body);
+      Answer answer = client.call("POST", Wire.TRANSACTION, body);
       if (answer.status == 200) {
         return;
       }
--- a/src/main/java/dunlincroft/documents/Documents.java
+++ b/src/main/java/dunlincroft/documents/Documents.java
@@ -6,7 +6,7 @@
 import dunlincroft.bookkeeping.Replica;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.Fields;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.Wire;
 import java.util.ArrayList;
 import java.util.List;
@@ -47,7 +47,7 @@
   }
 
   /** The versions that a manifest lists, the oldest first; none if the manifest is null. */
-  public static List<Version> versions(JsonNode manifest) throws Malformed {
+  public static List<Version> versions(JsonNode manifest) throws MalformedException {
     List<Version> versions = new ArrayList<>();
     if (manifest != null) {
       for (JsonNode entry : Fields.list(manifest, "versions")) {
@@ -112,7 +112,7 @@
   }
 
   /** The newest version in a replica; null if there is none or one of its pages is missing. */
-  public static Text newest(Replica replica, String name) throws Malformed {
+  public static Text newest(Replica replica, String name) throws MalformedException {
     Replica.Item item = replica.get(Replica.DOCUMENTS, name);
     List<Version> versions = versions(item == null ? null : item.data());
     if (versions.isEmpty()) {
--- a/src/main/java/dunlincroft/documents/RateLimitedStateClient.java
+++ b/src/main/java/dunlincroft/documents/RateLimitedStateClient.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dunlincroft.Constants;
 import dunlincroft.protocol.Cbor;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -66,7 +66,7 @@
           return new DocumentStore.Answer(0, null); // The change may have been applied.
         }
         pause *= 2;
-      } catch (Malformed e) {
+      } catch (MalformedException e) {
         throw new DocumentStore.Unreachable("the state service sent a malformed answer to " + path);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
--- a/src/main/java/dunlincroft/front/HttpFront.java
+++ b/src/main/java/dunlincroft/front/HttpFront.java
@@ -6,7 +6,7 @@
 import dunlincroft.coordination.JobService;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.Wire;
 import dunlincroft.protocol.WorkerReport;
 import dunlincroft.transport.RequestHandler;
@@ -34,7 +34,7 @@
       if (allowed(method, "GET", out)) {
         out.send(controller.isReady() ? 200 : 503, new byte[0], 0);
       }
-    } else if (path.equals(Wire.HELLO)) {
+    } else if (path.equals(Wire.WORKER_HEARTBEAT)) {
       if (allowed(method, "POST", out)) {
         hello(body, out);
       }
@@ -68,9 +68,9 @@
     out.send(status, Cbor.bytes(Cbor.map().put("error", why)), 0);
   }
 
-  private static ObjectNode parse(byte[] body) throws Malformed {
+  private static ObjectNode parse(byte[] body) throws MalformedException {
     if (body.length > Constants.MAX_BODY_BYTES) {
-      throw new Malformed("the body is over 64 KiB");
+      throw new MalformedException("the body is over 64 KiB");
     }
     return Cbor.parse(body);
   }
@@ -78,7 +78,7 @@
   private void hello(byte[] body, Responder out) {
     try {
       controller.onWorkerHeartbeat(WorkerReport.parse(parse(body)), out);
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       LOG.info("malformed report: {}", e.getMessage());
       error(out, 400, e.getMessage());
     }
@@ -88,14 +88,14 @@
     try {
       JobSpec spec = JobSpec.parse(parse(body));
       jobs.submit(spec, outcome -> answer(outcome, out));
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       LOG.info("submission refused: {}", e.getMessage());
       error(out, 400, e.getMessage());
     }
   }
 
   private void one(String id, boolean cancel, Responder out) {
-    if (!JobSpec.validRef(id)) {
+    if (!JobSpec.isValidRef(id)) {
       error(out, 404, "no such job");
     } else if (cancel) {
       jobs.cancel(id, outcome -> answer(outcome, out));
--- a/src/main/java/dunlincroft/limits/SharePlan.java
+++ b/src/main/java/dunlincroft/limits/SharePlan.java
@@ -1,6 +1,6 @@
 package dunlincroft.limits;
 
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -15,18 +15,19 @@
  * Memory is not limited and is left out of all sums.
  */
 public final class SharePlan {
-  private final Map<String, Room> unused = new TreeMap<>();
-  private final Map<String, Room> reserved = new HashMap<>();
+  private final Map<String, Resources> unused = new TreeMap<>();
+  private final Map<String, Resources> reserved = new HashMap<>();
 
   /** Unused capacity of all shards together that no request has reserved yet. */
-  private Room unreserved = Room.NONE;
+  private Resources unreserved = Resources.NONE;
 
-  private SharePlan(Map<String, Room> parts, Map<String, Room> used) {
+  private SharePlan(Map<String, Resources> parts, Map<String, Resources> used) {
     parts.forEach(
         (shard, part) -> {
-          Room unusedPart =
-              withoutMemory(part).minus(withoutMemory(used.getOrDefault(shard, Room.NONE)));
-          Room free = new Room(Math.max(0, unusedPart.cpu()), Math.max(0, unusedPart.gpu()), 0);
+          Resources unusedPart =
+              withoutMemory(part).minus(withoutMemory(used.getOrDefault(shard, Resources.NONE)));
+          Resources free =
+              new Resources(Math.max(0, unusedPart.cpu()), Math.max(0, unusedPart.gpu()), 0);
           unused.put(shard, free);
           unreserved = unreserved.plus(free);
         });
@@ -41,13 +42,13 @@
    * @param requests waiting tasks, in the order in which they are served
    */
   public static List<Transfer> transfers(
-      Map<String, Room> parts,
-      Map<String, Room> used,
-      Map<String, Room> work,
+      Map<String, Resources> parts,
+      Map<String, Resources> used,
+      Map<String, Resources> work,
       List<ShareRequest> requests) {
     SharePlan plan = new SharePlan(parts, used);
     plan.reserve(requests);
-    Map<String, Room> shortage = plan.shortfalls();
+    Map<String, Resources> shortage = plan.shortfalls();
     if (shortage.isEmpty()) {
       shortage = plan.shareByWork(parts, work);
     }
@@ -65,18 +66,19 @@
   }
 
   private void reserve(ShareRequest request, int maxTasks) {
-    Room task = withoutMemory(request.taskResources());
+    Resources task = withoutMemory(request.taskResources());
     int tasks = task.countIn(unreserved, Math.max(0, maxTasks));
     unreserved = unreserved.minus(task.times(tasks));
-    reserved.merge(request.shard(), task.times(tasks), Room::plus);
+    reserved.merge(request.shard(), task.times(tasks), Resources::plus);
   }
 
   /** What shards lack for the tasks that they have reserved capacity for. */
-  private Map<String, Room> shortfalls() {
-    Map<String, Room> shortage = new TreeMap<>();
+  private Map<String, Resources> shortfalls() {
+    Map<String, Resources> shortage = new TreeMap<>();
     reserved.forEach(
         (shard, resources) -> {
-          Room shortfall = nonNegative(resources.minus(unused.getOrDefault(shard, Room.NONE)));
+          Resources shortfall =
+              nonNegative(resources.minus(unused.getOrDefault(shard, Resources.NONE)));
           if (shortfall.cpu() + shortfall.gpu() > 0) {
             shortage.put(shard, shortfall);
           }
@@ -90,21 +92,22 @@
    * its work, or that has at least half of its target, gets nothing; otherwise two shards would
    * transfer the same part back and forth.
    */
-  private Map<String, Room> shareByWork(Map<String, Room> parts, Map<String, Room> work) {
-    Map<String, Room> shortage = new TreeMap<>();
-    Room totalWork = work.values().stream().reduce(Room.NONE, Room::plus);
-    Room spare = unreserved;
-    for (Map.Entry<String, Room> entry : work.entrySet()) {
+  private Map<String, Resources> shareByWork(
+      Map<String, Resources> parts, Map<String, Resources> work) {
+    Map<String, Resources> shortage = new TreeMap<>();
+    Resources totalWork = work.values().stream().reduce(Resources.NONE, Resources::plus);
+    Resources spare = unreserved;
+    for (Map.Entry<String, Resources> entry : work.entrySet()) {
       String shard = entry.getKey();
-      Room part = parts.getOrDefault(shard, Room.NONE);
-      Room target = proportion(spare, entry.getValue(), totalWork);
-      Room current = available(shard);
+      Resources part = parts.getOrDefault(shard, Resources.NONE);
+      Resources target = proportion(spare, entry.getValue(), totalWork);
+      Resources current = available(shard);
       boolean needsCpu = entry.getValue().cpu() > part.cpu() && current.cpu() < target.cpu() / 2;
       boolean needsGpu = entry.getValue().gpu() > part.gpu() && current.gpu() < target.gpu() / 2;
       if (needsCpu || needsGpu) {
         shortage.put(
             shard,
-            new Room(
+            new Resources(
                 needsCpu ? target.cpu() - current.cpu() : 0,
                 needsGpu ? target.gpu() - current.gpu() : 0,
                 0));
@@ -112,31 +115,32 @@
       // No shard gives away what it needs for its own target.
       reserved.merge(
           shard,
-          new Room(Math.min(current.cpu(), target.cpu()), Math.min(current.gpu(), target.gpu()), 0),
-          Room::plus);
+          new Resources(
+              Math.min(current.cpu(), target.cpu()), Math.min(current.gpu(), target.gpu()), 0),
+          Resources::plus);
     }
     return shortage;
   }
 
   /** What a shard has unused beyond what is reserved for it. */
-  private Room available(String shard) {
-    Room unusedHere = unused.getOrDefault(shard, Room.NONE);
-    return nonNegative(unusedHere.minus(reserved.getOrDefault(shard, Room.NONE)));
+  private Resources available(String shard) {
+    Resources unusedHere = unused.getOrDefault(shard, Resources.NONE);
+    return nonNegative(unusedHere.minus(reserved.getOrDefault(shard, Resources.NONE)));
   }
 
   /**
    * Shards with the most available capacity give first, which keeps the number of transfers low.
    */
-  private List<Transfer> match(Map<String, Room> shortage) {
+  private List<Transfer> match(Map<String, Resources> shortage) {
     List<Transfer> transfers = new ArrayList<>();
-    Map<String, Room> unmet = new TreeMap<>(shortage);
+    Map<String, Resources> unmet = new TreeMap<>(shortage);
     unused.keySet().stream()
         .sorted(Comparator.comparingLong((String shard) -> -available(shard).cpu()))
         .forEach(
             from -> {
-              Room offered = available(from);
-              for (Map.Entry<String, Room> shortfall : unmet.entrySet()) {
-                Room amount = componentMin(offered, shortfall.getValue());
+              Resources offered = available(from);
+              for (Map.Entry<String, Resources> shortfall : unmet.entrySet()) {
+                Resources amount = componentMin(offered, shortfall.getValue());
                 if (amount.cpu() + amount.gpu() > 0 && !shortfall.getKey().equals(from)) {
                   transfers.add(new Transfer(from, shortfall.getKey(), amount));
                   offered = offered.minus(amount);
@@ -147,24 +151,24 @@
     return transfers;
   }
 
-  private static Room withoutMemory(Room resources) {
-    return new Room(resources.cpu(), resources.gpu(), 0);
+  private static Resources withoutMemory(Resources resources) {
+    return new Resources(resources.cpu(), resources.gpu(), 0);
   }
 
-  private static Room nonNegative(Room resources) {
-    return new Room(Math.max(0, resources.cpu()), Math.max(0, resources.gpu()), 0);
+  private static Resources nonNegative(Resources resources) {
+    return new Resources(Math.max(0, resources.cpu()), Math.max(0, resources.gpu()), 0);
   }
 
-  private static Room componentMin(Room one, Room other) {
-    return new Room(Math.min(one.cpu(), other.cpu()), Math.min(one.gpu(), other.gpu()), 0);
+  private static Resources componentMin(Resources one, Resources other) {
+    return new Resources(Math.min(one.cpu(), other.cpu()), Math.min(one.gpu(), other.gpu()), 0);
   }
 
   /**
    * The part of the resources in proportion to work. Computed in doubles, because limits can be so
    * large that a product of longs would overflow.
    */
-  private static Room proportion(Room resources, Room work, Room totalWork) {
-    return new Room(
+  private static Resources proportion(Resources resources, Resources work, Resources totalWork) {
+    return new Resources(
         totalWork.cpu() == 0 ? 0 : (long) ((double) resources.cpu() * work.cpu() / totalWork.cpu()),
         totalWork.gpu() == 0 ? 0 : (long) ((double) resources.gpu() * work.gpu() / totalWork.gpu()),
         0);
--- a/src/main/java/dunlincroft/limits/ShareRequest.java
+++ b/src/main/java/dunlincroft/limits/ShareRequest.java
@@ -1,6 +1,6 @@
 package dunlincroft.limits;
 
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 
 /**
  * Tasks of one job that wait only for a part of their team's limit: machines of their shard have
@@ -10,4 +10,4 @@
  * @param taskResources resources of each task
  * @param tasks how many of them could start at once
  */
-public record ShareRequest(String shard, Room taskResources, int tasks) {}
+public record ShareRequest(String shard, Resources taskResources, int tasks) {}
--- a/src/main/java/dunlincroft/membership/FailureDetector.java
+++ b/src/main/java/dunlincroft/membership/FailureDetector.java
@@ -1,8 +1,8 @@
 package dunlincroft.membership;
 
 import dunlincroft.Constants;
-import dunlincroft.transport.Beat;
-import dunlincroft.transport.Beat.Hearing;
+import dunlincroft.transport.PeerHeartbeat;
+import dunlincroft.transport.PeerHeartbeat.PeerObservation;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -26,7 +26,7 @@
   /** State of one peer. */
   private static final class Peer {
     final HeartbeatIntervals intervals = new HeartbeatIntervals();
-    Beat heartbeat;
+    PeerHeartbeat heartbeat;
     long heartbeatAt;
 
     /**
@@ -48,7 +48,7 @@
 
     /** Number of its refutations, as in its last heartbeat. */
     long refutations() {
-      return heartbeat == null ? 0 : heartbeat.count();
+      return heartbeat == null ? 0 : heartbeat.refutations();
     }
   }
 
@@ -79,7 +79,7 @@
   // ---- evidence ----
 
   /** Takes in a peer's heartbeat. */
-  public void heartbeatReceived(Beat heartbeat, long nowMs) {
+  public void heartbeatReceived(PeerHeartbeat heartbeat, long nowMs) {
     Peer peer = peers.get(heartbeat.node());
     if (peer == null) {
       return;
@@ -103,7 +103,7 @@
         peer,
         isSameIncarnation ? "it is heard again" : "it is back in a new life",
         nowMs);
-    for (Hearing observation : heartbeat.hearings()) {
+    for (PeerObservation observation : heartbeat.observations()) {
       relayReceived(heartbeat.node(), observation, nowMs);
     }
   }
@@ -112,10 +112,10 @@
    * A peer reports on another one: a number of refutations higher than known here proves that it is
    * alive.
    */
-  private void relayReceived(String from, Hearing observation, long nowMs) {
+  private void relayReceived(String from, PeerObservation observation, long nowMs) {
     Peer peer = peers.get(observation.node());
     if (peer != null
-        && observation.count() > peer.refutations()
+        && observation.refutations() > peer.refutations()
         && nowMs - observation.silentMs() > peer.aliveAt) {
       markAlive(
           observation.node(), peer, "it refuted by way of " + from, nowMs - observation.silentMs());
@@ -200,12 +200,12 @@
       int refusing = peer.refused ? 1 : 0;
       int missing = silent >= condemnAfterMs(peer) ? 1 : 0;
       for (Map.Entry<String, Peer> other : peers.entrySet()) {
-        Hearing observation = observation(other.getValue(), node);
+        PeerObservation observation = observation(other.getValue(), node);
         if (observation != null
             && other.getValue().state == PeerState.TRUSTED
             && observation.suspected()) {
           suspecting++;
-          refusing += observation.refused() ? 1 : 0;
+          refusing += observation.refusesConnections() ? 1 : 0;
           missing += observation.silentMs() >= Constants.PEER_LOST_MS ? 1 : 0;
         }
       }
@@ -238,11 +238,11 @@
     return (peer.refused ? 1 : 1 + localHealth) * peer.intervals.suspectAfterMs(peer.refused);
   }
 
-  private static Hearing observation(Peer from, String subject) {
+  private static PeerObservation observation(Peer from, String subject) {
     if (from.heartbeat == null) {
       return null;
     }
-    for (Hearing observation : from.heartbeat.hearings()) {
+    for (PeerObservation observation : from.heartbeat.observations()) {
       if (observation.node().equals(subject)) {
         return observation;
       }
@@ -272,7 +272,7 @@
   }
 
   /** The last heartbeat of a peer, or null. */
-  Beat heartbeat(String node) {
+  PeerHeartbeat heartbeat(String node) {
     Peer peer = peers.get(node);
     return peer == null ? null : peer.heartbeat;
   }
@@ -287,13 +287,13 @@
   }
 
   /** Observations of all peers, to be sent with heartbeats. */
-  public List<Hearing> observations(long nowMs) {
-    List<Hearing> observations = new ArrayList<>(peers.size());
+  public List<PeerObservation> observations(long nowMs) {
+    List<PeerObservation> observations = new ArrayList<>(peers.size());
     peers.forEach(
         (node, peer) -> {
           boolean suspected = peer.state != PeerState.TRUSTED;
           observations.add(
-              new Hearing(
+              new PeerObservation(
                   node,
                   Math.max(0, nowMs - peer.heartbeatAt),
                   peer.refutations(),
@@ -309,11 +309,11 @@
    */
   private boolean isSuspectedByPeer(String node, long count) {
     for (Peer other : peers.values()) {
-      Hearing observation = observation(other, node);
+      PeerObservation observation = observation(other, node);
       if (other.state == PeerState.TRUSTED
           && observation != null
           && observation.suspected()
-          && observation.count() >= count) {
+          && observation.refutations() >= count) {
         return true;
       }
     }
@@ -324,9 +324,9 @@
   long highestSuspicionOfSelf() {
     long highest = -1;
     for (Peer other : peers.values()) {
-      Hearing observation = observation(other, self);
-      if (other.state == PeerState.TRUSTED && observation != null && observation.rumoured()) {
-        highest = Math.max(highest, observation.count());
+      PeerObservation observation = observation(other, self);
+      if (other.state == PeerState.TRUSTED && observation != null && observation.suspectedByAny()) {
+        highest = Math.max(highest, observation.refutations());
       }
     }
     return highest;
--- a/src/main/java/dunlincroft/membership/LowWatermark.java
+++ b/src/main/java/dunlincroft/membership/LowWatermark.java
@@ -1,10 +1,10 @@
 package dunlincroft.membership;
 
 import dunlincroft.Constants;
-import dunlincroft.transport.Beat;
-import dunlincroft.transport.Beat.Cancelled;
-import dunlincroft.transport.Beat.Echo;
-import dunlincroft.transport.Beat.Told;
+import dunlincroft.transport.PeerHeartbeat;
+import dunlincroft.transport.PeerHeartbeat.CancellationReport;
+import dunlincroft.transport.PeerHeartbeat.CancelledJob;
+import dunlincroft.transport.PeerHeartbeat.HeartbeatEcho;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -134,25 +134,27 @@
    * are disconnected from the state service and have not read them. If this node has itself been
    * disconnected for long, the report announces a suspension.
    */
-  Told createReport(long nowMs, long revision, long stateSilentMs) {
+  CancellationReport createReport(long nowMs, long revision, long stateSilentMs) {
     if (isSuspending(stateSilentMs)) {
       suspendedAt = nowMs;
     }
     long highest = acknowledged.isEmpty() ? forgottenUpTo : acknowledged.lastKey();
     long above = highest;
-    List<Echo> echoes = new ArrayList<>(peers.size());
+    List<HeartbeatEcho> echoes = new ArrayList<>(peers.size());
     for (Map.Entry<String, Peer> entry : peers.entrySet()) {
       Peer peer = entry.getValue();
       if (peer.sentAt > 0) {
-        echoes.add(new Echo(entry.getKey(), peer.instanceId, peer.sentAt));
+        echoes.add(new HeartbeatEcho(entry.getKey(), peer.instanceId, peer.sentAt));
       }
       if (peer.isDisconnected && nowMs - peer.lastHeardAt < Constants.HANDED_ON_MS) {
         above = Math.min(above, Math.max(forgottenUpTo, peer.revision));
       }
     }
-    List<Cancelled> handedOn = new ArrayList<>();
-    acknowledged.tailMap(above, false).forEach((at, job) -> handedOn.add(new Cancelled(job, at)));
-    return new Told(instanceId, nowMs, echoes, revision, highest, above, handedOn);
+    List<CancelledJob> handedOn = new ArrayList<>();
+    acknowledged
+        .tailMap(above, false)
+        .forEach((at, job) -> handedOn.add(new CancelledJob(job, at)));
+    return new CancellationReport(instanceId, nowMs, echoes, revision, highest, above, handedOn);
   }
 
   private static boolean isSuspending(long stateSilentMs) {
@@ -166,13 +168,14 @@
    * here, and everything written by {@code readAt}. Returns the cancellations that are new; they
    * count as known from now on, so the caller must act on them at once.
    */
-  List<Cancelled> heartbeatReceived(Beat heartbeat, long nowMs, long revision, long readAt) {
+  List<CancelledJob> heartbeatReceived(
+      PeerHeartbeat heartbeat, long nowMs, long revision, long readAt) {
     Peer peer = peers.get(heartbeat.node());
-    Told report = heartbeat.told();
-    if (peer == null || report.life() == 0 || report.life() == peer.formerInstanceId) {
+    CancellationReport report = heartbeat.cancellations();
+    if (peer == null || report.instanceId() == 0 || report.instanceId() == peer.formerInstanceId) {
       return List.of(); // Late message of a process that has ended.
     }
-    if (peer.instanceId != report.life()) {
+    if (peer.instanceId != report.instanceId()) {
       peer.formerInstanceKnown =
           isFormerHistoryKnown(peer, readAt) && nowMs <= peer.suspendedUntil();
       if (peer.formerInstanceKnown) {
@@ -181,22 +184,22 @@
       }
       peer.suspendedAt = NEVER;
       peer.formerInstanceId = peer.instanceId;
-      peer.instanceId = report.life();
+      peer.instanceId = report.instanceId();
       peer.firstHeardAt = nowMs;
       peer.sentAt = 0;
     }
     boolean isNewest = report.sentAt() >= peer.sentAt;
     peer.sentAt = Math.max(peer.sentAt, report.sentAt());
-    peer.revision = report.revision();
+    peer.revision = report.readRevision();
     peer.lastHeardAt = nowMs;
     peer.isDisconnected = heartbeat.stateSilentMs() > Constants.STALE_MS / 2;
     boolean suspends = isSuspending(heartbeat.stateSilentMs());
     if (isNewest && !suspends) {
       peer.suspendedAt = NEVER;
     }
-    boolean isKnown = report.highest() <= revision || report.above() <= revision;
-    for (Echo echo : report.echoes()) {
-      if (echo.node().equals(self) && echo.life() == instanceId) {
+    boolean isKnown = report.highestRevision() <= revision || report.listedAbove() <= revision;
+    for (HeartbeatEcho echo : report.echoes()) {
+      if (echo.node().equals(self) && echo.instanceId() == instanceId) {
         peer.echoedAt = Math.max(peer.echoedAt, echo.sentAt());
         if (isKnown && isFormerHistoryKnown(peer, readAt)) {
           peer.closedAt = Math.max(peer.closedAt, echo.sentAt());
@@ -207,9 +210,9 @@
       }
     }
     report
-        .cancelled()
+        .cancelledJobs()
         .forEach(each -> highestReceived = Math.max(highestReceived, each.revision()));
-    return report.cancelled().stream().filter(each -> each.revision() > revision).toList();
+    return report.cancelledJobs().stream().filter(each -> each.revision() > revision).toList();
   }
 
   /** Whether all acknowledgements of earlier processes of that controller are known. */
--- a/src/main/java/dunlincroft/membership/Membership.java
+++ b/src/main/java/dunlincroft/membership/Membership.java
@@ -4,7 +4,7 @@
 import dunlincroft.Settings;
 import dunlincroft.bookkeeping.Replica;
 import dunlincroft.bookkeeping.Txn;
-import dunlincroft.transport.Beat;
+import dunlincroft.transport.PeerHeartbeat;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -129,9 +129,9 @@
   /**
    * The next heartbeat of this node, with its admission load and its machines that do not respond.
    */
-  public Beat heartbeat(Beat.Load load, List<String> silentMachines) {
+  public PeerHeartbeat heartbeat(PeerHeartbeat.Load load, List<String> silentMachines) {
     long stateSilentMs = context.feed().stalenessMs();
-    return new Beat(
+    return new PeerHeartbeat(
         context.name(),
         sessionLease.incarnation(),
         stateSilentMs,
@@ -148,7 +148,7 @@
   public Set<String> silentMachinesOfPeers() {
     Set<String> hosts = new HashSet<>();
     for (String name : names) {
-      Beat heartbeat = name.equals(context.name()) ? null : detector.heartbeat(name);
+      PeerHeartbeat heartbeat = name.equals(context.name()) ? null : detector.heartbeat(name);
       if (heartbeat != null && detector.state(name) == PeerState.TRUSTED) {
         hosts.addAll(heartbeat.silentMachines());
       }
@@ -156,7 +156,7 @@
     return hosts;
   }
 
-  public void heartbeatReceived(Beat heartbeat) {
+  public void heartbeatReceived(PeerHeartbeat heartbeat) {
     detector.heartbeatReceived(heartbeat, context.now());
     watermark
         .heartbeatReceived(
@@ -287,7 +287,7 @@
   }
 
   private boolean isConnected(String peer) {
-    Beat heartbeat = detector.heartbeat(peer);
+    PeerHeartbeat heartbeat = detector.heartbeat(peer);
     return heartbeat.incarnation() != 0 && heartbeat.stateSilentMs() <= Constants.STALE_MS / 2;
   }
 
--- a/src/main/java/dunlincroft/membership/RateSharing.java
+++ b/src/main/java/dunlincroft/membership/RateSharing.java
@@ -3,7 +3,7 @@
 import dunlincroft.Settings;
 import dunlincroft.bookkeeping.Replica;
 import dunlincroft.bookkeeping.StateStore.RateDemand;
-import dunlincroft.transport.Beat;
+import dunlincroft.transport.PeerHeartbeat;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -34,12 +34,12 @@
     demand = context.store().demand(Math.max(seconds, 0.001));
     List<RateDemand> others = new ArrayList<>();
     for (Settings.Peer peer : context.settings().others()) {
-      Beat heartbeat = detector.heartbeat(peer.node());
+      PeerHeartbeat heartbeat = detector.heartbeat(peer.node());
       boolean isAlive =
           heartbeat != null && context.replica().get(Replica.CONTROLLERS, peer.node()) != null;
       others.add(
           isAlive
-              ? new RateDemand(heartbeat.requests(), heartbeat.writes())
+              ? new RateDemand(heartbeat.requestDemand(), heartbeat.writeDemand())
               : new RateDemand(0, 0));
     }
     context.store().setShare(demand, others);
--- a/src/main/java/dunlincroft/membership/SessionLease.java
+++ b/src/main/java/dunlincroft/membership/SessionLease.java
@@ -8,7 +8,7 @@
 import dunlincroft.bookkeeping.Txn;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.Fields;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.Wire;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -67,7 +67,7 @@
                   context.env().after(Constants.HOLD_TOUCH_MS, this::renew);
                   return;
                 }
-              } catch (Malformed e) {
+              } catch (MalformedException e) {
                 LOG.info("malformed answer to the request for a session lease: {}", e.getMessage());
               }
               context.env().after(Constants.HOLD_RETRY_MS, this::start);
--- a/src/main/java/dunlincroft/membership/ShardOwnership.java
+++ b/src/main/java/dunlincroft/membership/ShardOwnership.java
@@ -9,7 +9,7 @@
 import dunlincroft.membership.Succession.Candidate;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.Wire;
-import dunlincroft.transport.Beat;
+import dunlincroft.transport.PeerHeartbeat;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -218,7 +218,7 @@
    */
   private void considerHandback(String shard, List<String> leased) {
     Item sessionRecord = context.replica().get(Replica.CONTROLLERS, shard);
-    Beat heartbeat = detector.heartbeat(shard);
+    PeerHeartbeat heartbeat = detector.heartbeat(shard);
     boolean isHealthy =
         sessionRecord != null
             && heartbeat != null
--- a/src/main/java/dunlincroft/migration/Migration.java
+++ b/src/main/java/dunlincroft/migration/Migration.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.Fields;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.util.Locale;
 
 /**
@@ -74,7 +74,7 @@
     return map;
   }
 
-  static Migration parse(JsonNode map) throws Malformed {
+  static Migration parse(JsonNode map) throws MalformedException {
     try {
       return new Migration(
           Workload.parse(map.path("workload")),
@@ -83,7 +83,7 @@
           Fields.count(map, "since"),
           Fields.flag(map, "paused"));
     } catch (IllegalArgumentException e) {
-      throw new Malformed("not a migration: " + e.getMessage());
+      throw new MalformedException("not a migration: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/dunlincroft/migration/MigrationLedger.java
+++ b/src/main/java/dunlincroft/migration/MigrationLedger.java
@@ -15,7 +15,7 @@
 import dunlincroft.protocol.BlockClass;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.TaskState;
 import dunlincroft.protocol.Wire;
 import dunlincroft.transport.Env;
@@ -70,7 +70,7 @@
   }
 
   /** Checks a document; the message of a fault has a line for each of them. */
-  public static void check(String toml) throws Malformed {
+  public static void check(String toml) throws MalformedException {
     Workload.parseAll(toml);
   }
 
@@ -90,7 +90,7 @@
         if (item != null) {
           try {
             migrations.put(name, Migration.parse(item.data()));
-          } catch (Malformed e) {
+          } catch (MalformedException e) {
             LOG.error("record {}/{} cannot be read: {}", kind, name, e.getMessage());
           }
         }
@@ -111,7 +111,7 @@
         version = text.version();
         LOG.info("migration ledger: version {} with {} workloads", version, read.size());
       }
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       LOG.error("the migration document cannot be read, the one before holds: {}", e.getMessage());
     }
   }
@@ -136,7 +136,7 @@
   private record Shared(Workload workload, int onNew) implements MigrationSides {
     static Shared of(Migration migration, JobSpec spec) {
       return new Shared(
-          migration.workload(), (int) Math.ceil(migration.onNew() * spec.pieces() - 1e-9));
+          migration.workload(), (int) Math.ceil(migration.onNew() * spec.taskCount() - 1e-9));
     }
 
     @Override
@@ -283,22 +283,26 @@
   /** Whether every replica of the workload's services stands on its side, by the records. */
   private boolean whole(Migration migration) {
     for (JobIndex.Job job : index.all().values()) {
-      if (!job.spec.daemon() || !migration.workload().matches(job.spec)) {
+      if (!job.spec.isService() || !migration.workload().matches(job.spec)) {
         continue;
       }
       Shared sides = Shared.of(migration, job.spec);
       int right = 0;
-      for (TaskState.Place place : job.places()) {
+      for (TaskState.TaskPlacement place : job.places()) {
         BlockIndex.Block block = blocks.blockOf(place.host());
         if (block != null) {
           BlockClass of = block.record().blockClass();
           boolean there =
               sides.contains(
-                  sides.sideOf(place.task()), place.host(), of.flavour(), of.hall(), of.lendable());
+                  sides.sideOf(place.task()),
+                  place.host(),
+                  of.machineType(),
+                  of.zone(),
+                  of.preemptible());
           right += there ? 1 : 0;
         }
       }
-      if (right < job.spec.pieces()) {
+      if (right < job.spec.taskCount()) {
         return false;
       }
     }
--- a/src/main/java/dunlincroft/migration/Side.java
+++ b/src/main/java/dunlincroft/migration/Side.java
@@ -5,7 +5,7 @@
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.Fields;
 import dunlincroft.protocol.Hashing;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.util.Collections;
 import java.util.List;
 
@@ -46,11 +46,11 @@
     return map;
   }
 
-  static Side parse(JsonNode map) throws Malformed {
+  static Side parse(JsonNode map) throws MalformedException {
     return new Side(
         Fields.textsOrNull(map, "zones"),
         Fields.textsOrNull(map, "types"),
-        Fields.absent(map, "spot") ? null : Fields.flag(map, "spot"),
+        Fields.isAbsent(map, "spot") ? null : Fields.flag(map, "spot"),
         Fields.amountOr(map, "from", 0),
         Fields.amountOr(map, "to", 1));
   }
--- a/src/main/java/dunlincroft/migration/Workload.java
+++ b/src/main/java/dunlincroft/migration/Workload.java
@@ -8,7 +8,7 @@
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.Fields;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -35,8 +35,8 @@
 
   boolean matches(JobSpec spec) {
     return (jobclass == null || jobclass.equals(spec.jobclass()))
-        && (team == null || team.equals(spec.owner()))
-        && (image == null || image.equals(spec.bundle()))
+        && (team == null || team.equals(spec.team()))
+        && (image == null || image.equals(spec.image()))
         && (prefix == null || spec.ref().startsWith(prefix));
   }
 
@@ -59,11 +59,11 @@
     return map;
   }
 
-  static Workload parse(JsonNode map) throws Malformed {
+  static Workload parse(JsonNode map) throws MalformedException {
     for (var names = map.fieldNames(); names.hasNext(); ) {
       String field = names.next();
       if (!FIELDS.contains(field)) {
-        throw new Malformed(field + ": there is no such field");
+        throw new MalformedException(field + ": there is no such field");
       }
     }
     JsonNode select = map.path("select");
@@ -82,30 +82,31 @@
             "back".equals(Fields.textOrNull(map, "when_ill")));
     String ill = Fields.textOrNull(map, "when_ill");
     if (!workload.name.matches("[a-z0-9][a-z0-9-]{0,39}")) {
-      throw new Malformed("name: small letters, digits and dashes, 40 at the most");
+      throw new MalformedException("name: small letters, digits and dashes, 40 at the most");
     }
     if (ill != null && !ill.equals("back") && !ill.equals("pause")) {
-      throw new Malformed("when_ill: pause or back");
+      throw new MalformedException("when_ill: pause or back");
     }
     if (workload.canary > workload.share || workload.share > 1) {
-      throw new Malformed("canary, share: from 0 to 1, and the canary no more than the share");
+      throw new MalformedException(
+          "canary, share: from 0 to 1, and the canary no more than the share");
     }
     if (!workload.old.apart(workload.fresh)) {
-      throw new Malformed("old, new: a machine may be of both");
+      throw new MalformedException("old, new: a machine may be of both");
     }
     if (select.isEmpty()) {
-      throw new Malformed("select: must name a class, a team, an image or a prefix");
+      throw new MalformedException("select: must name a class, a team, an image or a prefix");
     }
     return workload;
   }
 
   /** Reads a document; the message of a fault has a line for each of them, with its path. */
-  static List<Workload> parseAll(String toml) throws Malformed {
+  static List<Workload> parseAll(String toml) throws MalformedException {
     JsonNode root;
     try {
       root = new TomlMapper().readTree(toml);
     } catch (JsonProcessingException e) {
-      throw new Malformed(
+      throw new MalformedException(
           "not TOML at line "
               + e.getLocation().getLineNr()
               + ", column "
@@ -126,12 +127,12 @@
           faults.add("workloads[" + i + "].name: " + workload.name + " is there twice");
         }
         workloads.add(workload);
-      } catch (Malformed e) {
+      } catch (MalformedException e) {
         faults.add("workloads[" + i + "]." + e.getMessage());
       }
     }
     if (!faults.isEmpty()) {
-      throw new Malformed(String.join("\n", faults));
+      throw new MalformedException(String.join("\n", faults));
     }
     return workloads;
   }
--- a/src/main/java/dunlincroft/operators/Checker.java
+++ b/src/main/java/dunlincroft/operators/Checker.java
@@ -2,7 +2,7 @@
 
 import dunlincroft.operators.Lexer.Sort;
 import dunlincroft.operators.Lexer.Token;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
@@ -32,7 +32,7 @@
     this.tokens = tokens;
   }
 
-  static Map<Setting, Expression> check(String file) throws Malformed {
+  static Map<Setting, Expression> check(String file) throws MalformedException {
     Checker checker = new Checker(Lexer.split(file));
     Map<Setting, Expression> rules = new EnumMap<>(Setting.class);
     while (checker.peek().sort() != Sort.END) {
@@ -41,7 +41,7 @@
     return rules;
   }
 
-  private void statement(Map<Setting, Expression> rules) throws Malformed {
+  private void statement(Map<Setting, Expression> rules) throws MalformedException {
     begun = next;
     Token name = take();
     setting = name.sort() == Sort.WORD ? Setting.named(name.text()) : null;
@@ -66,7 +66,7 @@
 
   // ---- expressions, the weakest binding first ----
 
-  private Expression expression() throws Malformed {
+  private Expression expression() throws MalformedException {
     if (++depth > DEEPEST) {
       throw peek().fault("nested too deeply");
     }
@@ -75,7 +75,7 @@
     return found;
   }
 
-  private Expression choice() throws Malformed {
+  private Expression choice() throws MalformedException {
     expect("if");
     Expression test = wanted(Kind.TRUTH, "the condition");
     expect("then");
@@ -91,16 +91,17 @@
   }
 
   private interface Level {
-    Expression read() throws Malformed;
+    Expression read() throws MalformedException;
   }
 
   private interface Join {
-    Expression of(Expression left, Token sign, Token at, Expression right) throws Malformed;
+    Expression of(Expression left, Token sign, Token at, Expression right)
+        throws MalformedException;
   }
 
   /** Operands of one kind between signs of one strength, from the left. */
   private Expression chain(Set<String> signs, Kind kind, Level operand, Join join)
-      throws Malformed {
+      throws MalformedException {
     Expression left = operand.read();
     while (signs.stream().anyMatch(sign -> peek().is(sign))) {
       Token sign = take();
@@ -111,7 +112,7 @@
     return left;
   }
 
-  private Expression either() throws Malformed {
+  private Expression either() throws MalformedException {
     return chain(
         Set.of("or"),
         Kind.TRUTH,
@@ -119,7 +120,7 @@
         (a, sign, at, b) -> Expression.from(Kind.TRUTH, in -> a.truth(in) || b.truth(in), a, b));
   }
 
-  private Expression both() throws Malformed {
+  private Expression both() throws MalformedException {
     return chain(
         Set.of("and"),
         Kind.TRUTH,
@@ -127,7 +128,7 @@
         (a, sign, at, b) -> Expression.from(Kind.TRUTH, in -> a.truth(in) && b.truth(in), a, b));
   }
 
-  private Expression negation() throws Malformed {
+  private Expression negation() throws MalformedException {
     if (!peek().is("not")) {
       return comparison();
     }
@@ -136,7 +137,7 @@
     return Expression.from(Kind.TRUTH, in -> !part.truth(in), part);
   }
 
-  private Expression comparison() throws Malformed {
+  private Expression comparison() throws MalformedException {
     Expression left = sum();
     Token sign = peek();
     if (sign.sort() != Sort.SIGN
@@ -171,7 +172,7 @@
         second);
   }
 
-  private Expression sum() throws Malformed {
+  private Expression sum() throws MalformedException {
     return chain(
         Set.of("+", "-"),
         Kind.NUMBER,
@@ -183,7 +184,7 @@
         });
   }
 
-  private Expression product() throws Malformed {
+  private Expression product() throws MalformedException {
     return chain(
         Set.of("*", "/"),
         Kind.NUMBER,
@@ -201,7 +202,7 @@
         });
   }
 
-  private Expression signed() throws Malformed {
+  private Expression signed() throws MalformedException {
     if (!peek().is("-")) {
       return primary();
     }
@@ -210,7 +211,7 @@
     return Expression.from(Kind.NUMBER, in -> 0.0 - part.number(in), part);
   }
 
-  private Expression primary() throws Malformed {
+  private Expression primary() throws MalformedException {
     Token token = take();
     switch (token.sort()) {
       case NUMBER:
@@ -229,7 +230,7 @@
     }
   }
 
-  private Expression word(Token token) throws Malformed {
+  private Expression word(Token token) throws MalformedException {
     if (token.is("true") || token.is("false")) {
       return Expression.of(token.is("true"));
     }
@@ -265,7 +266,7 @@
 
   // ---- helpers ----
 
-  private Expression wanted(Kind kind, String what) throws Malformed {
+  private Expression wanted(Kind kind, String what) throws MalformedException {
     Token at = peek();
     Expression found = expression();
     if (found.kind() != kind) {
@@ -274,7 +275,8 @@
     return found;
   }
 
-  private static Expression typed(Expression part, Kind kind, Token sign) throws Malformed {
+  private static Expression typed(Expression part, Kind kind, Token sign)
+      throws MalformedException {
     if (part.kind() != kind) {
       throw sign.fault(
           sign.said() + " needs " + kind.said + " on this side, not " + part.kind().said);
@@ -286,7 +288,7 @@
     return tokens.get(next);
   }
 
-  private Token take() throws Malformed {
+  private Token take() throws MalformedException {
     Token token = peek();
     if (next - begun > LONGEST) {
       throw token.fault("the statement is too long");
@@ -297,7 +299,7 @@
     return token;
   }
 
-  private void expect(String text) throws Malformed {
+  private void expect(String text) throws MalformedException {
     Token token = take();
     if (!token.is(text)) {
       throw token.fault("expected '" + text + "', found " + token.said());
