--- a/src/main/java/dunlincroft/operators/Lexer.java
+++ b/src/main/java/dunlincroft/operators/Lexer.java
@@ -1,6 +1,6 @@
 package dunlincroft.operators;
 
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Matcher;
@@ -22,8 +22,8 @@
       return (sort == Sort.SIGN || sort == Sort.WORD) && text.equals(expected);
     }
 
-    Malformed fault(String message) {
-      return new Malformed("line " + line + ", column " + column + ": " + message);
+    MalformedException fault(String message) {
+      return new MalformedException("line " + line + ", column " + column + ": " + message);
     }
 
     /** How an error names it. */
@@ -42,7 +42,7 @@
 
   private Lexer() {}
 
-  static List<Token> split(String file) throws Malformed {
+  static List<Token> split(String file) throws MalformedException {
     List<Token> tokens = new ArrayList<>();
     Matcher matcher = TOKEN.matcher(file);
     int line = 1;
--- a/src/main/java/dunlincroft/operators/Policy.java
+++ b/src/main/java/dunlincroft/operators/Policy.java
@@ -2,7 +2,7 @@
 
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.MachineType;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.util.EnumMap;
 import java.util.Locale;
 import java.util.Map;
@@ -22,7 +22,7 @@
   }
 
   /** Reads a file; an error names its line and column. */
-  public static Policy parse(String file) throws Malformed {
+  public static Policy parse(String file) throws MalformedException {
     return new Policy(Checker.check(file));
   }
 
@@ -84,7 +84,7 @@
     return name ->
         switch (name) {
           case "type" -> type.label();
-          case "cpus" -> type.room().cpu() / MILLI;
+          case "cpus" -> type.resources().cpu() / MILLI;
           case "price" -> type.price();
           default -> Inputs.NONE.get(name);
         };
@@ -93,12 +93,12 @@
   private static Inputs job(JobSpec spec) {
     return name ->
         switch (name) {
-          case "team" -> spec.owner();
+          case "team" -> spec.team();
           case "class" -> spec.jobclass();
           case "rank" -> spec.rank().name().toLowerCase(Locale.ROOT);
-          case "service" -> spec.daemon();
-          case "tasks" -> (double) spec.pieces();
-          case "cpus" -> spec.room().cpu() / MILLI;
+          case "service" -> spec.isService();
+          case "tasks" -> (double) spec.taskCount();
+          case "cpus" -> spec.resources().cpu() / MILLI;
           default -> Inputs.NONE.get(name);
         };
   }
--- a/src/main/java/dunlincroft/protocol/BlockRecord.java
+++ b/src/main/java/dunlincroft/protocol/BlockRecord.java
@@ -18,7 +18,7 @@
   }
 
   /** Reads a block; the version before had one machine a block, under the machine's name. */
-  public static BlockRecord parse(String name, JsonNode map) throws Malformed {
+  public static BlockRecord parse(String name, JsonNode map) throws MalformedException {
     Map<String, Long> hosts = new LinkedHashMap<>();
     JsonNode list = map.get("hosts");
     if (list == null) {
@@ -29,7 +29,7 @@
         hosts.put(host, Fields.count(list, host));
       }
     } else {
-      throw new Malformed("hosts must be a map");
+      throw new MalformedException("hosts must be a map");
     }
     return new BlockRecord(
         Fields.text(map, "shard"),
@@ -42,25 +42,25 @@
     ObjectNode map =
         Cbor.map()
             .put("shard", shard)
-            .put("flavour", blockClass.flavour())
-            .put("hall", blockClass.hall())
-            .put("lendable", blockClass.lendable());
+            .put("flavour", blockClass.machineType())
+            .put("hall", blockClass.zone())
+            .put("lendable", blockClass.preemptible());
     ObjectNode list = map.putObject("hosts");
     hosts.forEach(list::put);
     return map;
   }
 
   /** The block without these machines. */
-  public BlockRecord without(Collection<String> gone) {
-    Map<String, Long> left = new LinkedHashMap<>(hosts);
-    left.keySet().removeAll(gone);
-    return new BlockRecord(shard, blockClass, left);
+  public BlockRecord without(Collection<String> removed) {
+    Map<String, Long> remaining = new LinkedHashMap<>(hosts);
+    remaining.keySet().removeAll(removed);
+    return new BlockRecord(shard, blockClass, remaining);
   }
 
   /** These of its machines, leased to another shard. */
-  public BlockRecord part(Collection<String> some, String to) {
-    Map<String, Long> taken = new LinkedHashMap<>(hosts);
-    taken.keySet().retainAll(some);
-    return new BlockRecord(to, blockClass, taken);
+  public BlockRecord subset(Collection<String> selected, String newShard) {
+    Map<String, Long> selectedHosts = new LinkedHashMap<>(hosts);
+    selectedHosts.keySet().retainAll(selected);
+    return new BlockRecord(newShard, blockClass, selectedHosts);
   }
 }
--- a/src/main/java/dunlincroft/protocol/Cbor.java
+++ b/src/main/java/dunlincroft/protocol/Cbor.java
@@ -17,16 +17,16 @@
 
   private Cbor() {}
 
-  /** Parses a body; throws {@link Malformed} unless it is exactly one CBOR map. */
-  public static ObjectNode parse(byte[] body) throws Malformed {
+  /** Parses a body; throws {@link MalformedException} unless it is exactly one CBOR map. */
+  public static ObjectNode parse(byte[] body) throws MalformedException {
     try {
       JsonNode node = MAPPER.readTree(body);
       if (node instanceof ObjectNode map) {
         return map;
       }
-      throw new Malformed("the body is not a map");
+      throw new MalformedException("the body is not a map");
     } catch (IOException e) {
-      throw new Malformed("the body is not CBOR");
+      throw new MalformedException("the body is not CBOR");
     }
   }
 
--- a/src/main/java/dunlincroft/protocol/Fields.java
+++ b/src/main/java/dunlincroft/protocol/Fields.java
@@ -4,82 +4,85 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Typed reading of a map's fields. Each method throws {@link Malformed} naming the field. */
+/**
+ * Typed reading of a map's fields. Each method throws {@link MalformedException} naming the field.
+ */
 public final class Fields {
   private Fields() {}
 
-  public static boolean absent(JsonNode map, String field) {
+  public static boolean isAbsent(JsonNode map, String field) {
     JsonNode node = map.get(field);
     return node == null || node.isNull();
   }
 
-  public static String text(JsonNode map, String field) throws Malformed {
+  public static String text(JsonNode map, String field) throws MalformedException {
     JsonNode node = map.get(field);
     if (node == null || !node.isTextual()) {
-      throw new Malformed(field + " must be text");
+      throw new MalformedException(field + " must be text");
     }
     return node.textValue();
   }
 
-  public static String textOrNull(JsonNode map, String field) throws Malformed {
-    return absent(map, field) ? null : text(map, field);
+  public static String textOrNull(JsonNode map, String field) throws MalformedException {
+    return isAbsent(map, field) ? null : text(map, field);
   }
 
-  public static boolean flag(JsonNode map, String field) throws Malformed {
+  public static boolean flag(JsonNode map, String field) throws MalformedException {
     JsonNode node = map.get(field);
     if (node == null || !node.isBoolean()) {
-      throw new Malformed(field + " must be true or false");
+      throw new MalformedException(field + " must be true or false");
     }
     return node.booleanValue();
   }
 
   /** A finite number that is not negative. */
-  public static double amount(JsonNode map, String field) throws Malformed {
+  public static double amount(JsonNode map, String field) throws MalformedException {
     JsonNode node = map.get(field);
     if (node == null || !node.isNumber()) {
-      throw new Malformed(field + " must be a number");
+      throw new MalformedException(field + " must be a number");
     }
     double value = node.doubleValue();
     if (!Double.isFinite(value) || value < 0) {
-      throw new Malformed(field + " must be finite and not negative");
+      throw new MalformedException(field + " must be finite and not negative");
     }
     return value;
   }
 
-  public static double amountOr(JsonNode map, String field, double other) throws Malformed {
-    return absent(map, field) ? other : amount(map, field);
+  public static double amountOr(JsonNode map, String field, double defaultValue)
+      throws MalformedException {
+    return isAbsent(map, field) ? defaultValue : amount(map, field);
   }
 
   /** A whole number from 0 to 2^63-1. */
-  public static long count(JsonNode map, String field) throws Malformed {
+  public static long count(JsonNode map, String field) throws MalformedException {
     JsonNode node = map.get(field);
     if (node == null || !node.isIntegralNumber() || !node.canConvertToLong()) {
-      throw new Malformed(field + " must be a whole number");
+      throw new MalformedException(field + " must be a whole number");
     }
     if (node.longValue() < 0) {
-      throw new Malformed(field + " must not be negative");
+      throw new MalformedException(field + " must not be negative");
     }
     return node.longValue();
   }
 
-  public static List<String> textsOrNull(JsonNode map, String field) throws Malformed {
-    if (absent(map, field)) {
+  public static List<String> textsOrNull(JsonNode map, String field) throws MalformedException {
+    if (isAbsent(map, field)) {
       return null;
     }
     List<String> texts = new ArrayList<>();
     for (JsonNode item : list(map, field)) {
       if (!item.isTextual()) {
-        throw new Malformed(field + " must be a list of texts");
+        throw new MalformedException(field + " must be a list of texts");
       }
       texts.add(item.textValue());
     }
     return texts;
   }
 
-  public static JsonNode list(JsonNode map, String field) throws Malformed {
+  public static JsonNode list(JsonNode map, String field) throws MalformedException {
     JsonNode node = map.get(field);
     if (node == null || !node.isArray()) {
-      throw new Malformed(field + " must be a list");
+      throw new MalformedException(field + " must be a list");
     }
     return node;
   }
--- a/src/main/java/dunlincroft/protocol/JobSpec.java
+++ b/src/main/java/dunlincroft/protocol/JobSpec.java
@@ -16,22 +16,22 @@
 public record JobSpec(
     String ref,
     String jobclass,
-    String owner,
-    boolean daemon,
+    String team,
+    boolean isService,
     Rank rank,
-    int pieces,
-    Room room,
-    String bundle,
+    int taskCount,
+    Resources resources,
+    String image,
     double imageGb,
-    List<String> flavours,
-    String hall,
-    boolean samePlace,
-    boolean spread,
-    boolean lendable,
-    double expectS,
-    double snapshotS,
-    double flushS,
-    double dueS) {
+    List<String> machineTypes,
+    String requiredZone,
+    boolean sameZone,
+    boolean spreadZones,
+    boolean toleratesSpot,
+    double estimatedRunS,
+    double snapshotIntervalS,
+    double saveDurationS,
+    double deadlineS) {
 
   /** Ranks, the most important first. */
   public enum Rank {
@@ -42,36 +42,36 @@
   }
 
   /** A job without a deadline. */
-  public static final double NO_DUE = Double.POSITIVE_INFINITY;
+  public static final double NO_DEADLINE = Double.POSITIVE_INFINITY;
 
-  private static final Pattern REF = Pattern.compile("run-[A-Za-z0-9_.-]{1,120}");
+  private static final Pattern REF_PATTERN = Pattern.compile("run-[A-Za-z0-9_.-]{1,120}");
 
-  public static boolean validRef(String ref) {
-    return REF.matcher(ref).matches();
+  public static boolean isValidRef(String ref) {
+    return REF_PATTERN.matcher(ref).matches();
   }
 
-  public static JobSpec parse(JsonNode map) throws Malformed {
+  public static JobSpec parse(JsonNode map) throws MalformedException {
     String ref = text(map, "ref");
-    if (!validRef(ref)) {
-      throw new Malformed("ref must have the form run-000412");
+    if (!isValidRef(ref)) {
+      throw new MalformedException("ref must have the form run-000412");
     }
-    long pieces = Fields.count(map, "pieces");
-    if (pieces < 1 || pieces > Constants.MAX_PIECES) {
-      throw new Malformed("pieces must be from 1 to " + Constants.MAX_PIECES);
+    long taskCount = Fields.count(map, "pieces");
+    if (taskCount < 1 || taskCount > Constants.MAX_PIECES) {
+      throw new MalformedException("pieces must be from 1 to " + Constants.MAX_PIECES);
     }
     String shape = text(map, "shape");
-    boolean daemon = shape.equals(Wire.DAEMON);
-    if (!daemon && !shape.equals(Wire.BATCH)) {
-      throw new Malformed("shape must be batch or daemon");
+    boolean isService = shape.equals(Wire.DAEMON);
+    if (!isService && !shape.equals(Wire.BATCH)) {
+      throw new MalformedException("shape must be batch or daemon");
     }
     return new JobSpec(
         ref,
         text(map, "jobclass"),
         text(map, "owner"),
-        daemon,
+        isService,
         rank(text(map, "rank")),
-        (int) pieces,
-        Room.parse(map),
+        (int) taskCount,
+        Resources.parse(map),
         text(map, "bundle"),
         amount(map, "imageGb"),
         Fields.textsOrNull(map, "flavours"),
@@ -82,16 +82,16 @@
         amount(map, "expectS"),
         amount(map, "snapshotS"),
         amount(map, "flushS"),
-        amountOr(map, "dueS", NO_DUE));
+        amountOr(map, "dueS", NO_DEADLINE));
   }
 
-  private static Rank rank(String name) throws Malformed {
+  private static Rank rank(String name) throws MalformedException {
     return switch (name) {
       case "prod" -> Rank.PROD;
       case "urgent" -> Rank.URGENT;
       case "normal" -> Rank.NORMAL;
       case "idle" -> Rank.IDLE;
-      default -> throw new Malformed("rank must be prod, urgent, normal or idle");
+      default -> throw new MalformedException("rank must be prod, urgent, normal or idle");
     };
   }
 
@@ -100,39 +100,39 @@
     ObjectNode map = Cbor.map();
     map.put("ref", ref)
         .put("jobclass", jobclass)
-        .put("owner", owner)
-        .put("shape", daemon ? Wire.DAEMON : Wire.BATCH)
+        .put("owner", team)
+        .put("shape", isService ? Wire.DAEMON : Wire.BATCH)
         .put("rank", rank.name().toLowerCase(java.util.Locale.ROOT))
-        .put("pieces", pieces);
-    room.write(map);
-    map.put("bundle", bundle).put("imageGb", imageGb);
-    if (flavours != null) {
-      flavours.forEach(map.putArray("flavours")::add);
+        .put("pieces", taskCount);
+    resources.write(map);
+    map.put("bundle", image).put("imageGb", imageGb);
+    if (machineTypes != null) {
+      machineTypes.forEach(map.putArray("flavours")::add);
     }
-    if (hall != null) {
-      map.put("hall", hall);
+    if (requiredZone != null) {
+      map.put("hall", requiredZone);
     }
-    map.put("samePlace", samePlace)
-        .put("spread", spread)
-        .put("lendable", lendable)
-        .put("expectS", expectS)
-        .put("snapshotS", snapshotS)
-        .put("flushS", flushS);
-    if (dueS != NO_DUE) {
-      map.put("dueS", dueS);
+    map.put("samePlace", sameZone)
+        .put("spread", spreadZones)
+        .put("lendable", toleratesSpot)
+        .put("expectS", estimatedRunS)
+        .put("snapshotS", snapshotIntervalS)
+        .put("flushS", saveDurationS);
+    if (deadlineS != NO_DEADLINE) {
+      map.put("dueS", deadlineS);
     }
     return map;
   }
 
   /** Most tasks that may be in one zone at a time. */
-  public int zoneMost() {
-    return spread ? (pieces + 1) / 2 : pieces;
+  public int maxTasksPerZone() {
+    return spreadZones ? (taskCount + 1) / 2 : taskCount;
   }
 
   /** The part of the constraints that a machine alone decides. */
-  public boolean allows(String flavour, String zone, boolean cheap) {
-    return (flavours == null || flavours.contains(flavour))
-        && (hall == null || hall.equals(zone))
-        && (lendable || !cheap);
+  public boolean allows(String machineType, String zone, boolean preemptible) {
+    return (machineTypes == null || machineTypes.contains(machineType))
+        && (requiredZone == null || requiredZone.equals(zone))
+        && (toleratesSpot || !preemptible);
   }
 }
--- a/src/main/java/dunlincroft/protocol/LogRecord.java
+++ b/src/main/java/dunlincroft/protocol/LogRecord.java
@@ -12,7 +12,7 @@
 public record LogRecord(List<Entry> entries) {
   /** News of one job; entries written together share a number. */
   public record Entry(long number, String job, TaskState state) {
-    public static Entry parse(JsonNode map) throws Malformed {
+    public static Entry parse(JsonNode map) throws MalformedException {
       return new Entry(Fields.count(map, "n"), Fields.text(map, "job"), TaskState.parse(map));
     }
 
@@ -23,7 +23,7 @@
     }
   }
 
-  public static LogRecord parse(JsonNode map) throws Malformed {
+  public static LogRecord parse(JsonNode map) throws MalformedException {
     List<Entry> entries = new ArrayList<>();
     for (JsonNode item : Fields.list(map, "log")) {
       entries.add(Entry.parse(item));
@@ -32,7 +32,7 @@
   }
 
   /** The number of the last entry; 0 without any. */
-  public long last() {
+  public long lastNumber() {
     return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).number();
   }
 }
--- a/src/main/java/dunlincroft/protocol/Listing.java
+++ b/src/main/java/dunlincroft/protocol/MachineListing.java
@@ -3,19 +3,19 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /** One machine of the cloud's list. */
-public record Listing(
+public record MachineListing(
     String host,
     String endpoint,
-    String flavour,
-    String hall,
-    boolean lendable,
+    String machineType,
+    String zone,
+    boolean preemptible,
     String status,
-    double heldS) {
+    double rentedS) {
 
   public static final String FAILED = "failed";
 
-  public static Listing parse(JsonNode map) throws Malformed {
-    return new Listing(
+  public static MachineListing parse(JsonNode map) throws MalformedException {
+    return new MachineListing(
         Fields.text(map, "ref"),
         Fields.textOrNull(map, "endpoint"),
         Fields.text(map, "flavour"),
--- a/src/main/java/dunlincroft/protocol/MachineType.java
+++ b/src/main/java/dunlincroft/protocol/MachineType.java
@@ -7,23 +7,28 @@
 
 /** A machine type of the cloud. */
 public record MachineType(
-    String label, Room room, double price, double lowPrice, double startupS, List<String> halls) {
+    String label,
+    Resources resources,
+    double price,
+    double spotPrice,
+    double startupS,
+    List<String> zones) {
 
-  public static MachineType parse(JsonNode map) throws Malformed {
-    List<String> halls = Fields.textsOrNull(map, "halls");
+  public static MachineType parse(JsonNode map) throws MalformedException {
+    List<String> zones = Fields.textsOrNull(map, "halls");
     return new MachineType(
         Fields.text(map, "label"),
-        Room.floor(
+        Resources.roundedDown(
             Fields.amount(map, "cpus"),
             Fields.amountOr(map, "gpus", 0),
             Fields.amount(map, "ramGb")),
         Fields.amount(map, "price"),
         Fields.amountOr(map, "lowPrice", Double.MAX_VALUE),
         Fields.amount(map, "startupS"),
-        halls == null ? List.of() : halls);
+        zones == null ? List.of() : zones);
   }
 
-  public static List<MachineType> parseAll(JsonNode map) throws Malformed {
+  public static List<MachineType> parseAll(JsonNode map) throws MalformedException {
     List<MachineType> types = new ArrayList<>();
     for (JsonNode item : Fields.list(map, "flavours")) {
       types.add(parse(item));
@@ -36,9 +41,9 @@
     var list = map.putArray("flavours");
     for (MachineType type : types) {
       ObjectNode item = list.addObject().put("label", type.label);
-      type.room.write(item);
-      item.put("price", type.price).put("lowPrice", type.lowPrice).put("startupS", type.startupS);
-      type.halls.forEach(item.putArray("halls")::add);
+      type.resources.write(item);
+      item.put("price", type.price).put("lowPrice", type.spotPrice).put("startupS", type.startupS);
+      type.zones.forEach(item.putArray("halls")::add);
     }
     return map;
   }
--- a/src/main/java/dunlincroft/protocol/Malformed.java
+++ b/src/main/java/dunlincroft/protocol/MalformedException.java
@@ -1,10 +1,10 @@
 package dunlincroft.protocol;
 
 /** A body or a value that the protocol does not allow; the message names the field. */
-public final class Malformed extends Exception {
+public final class MalformedException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  public Malformed(String message) {
+  public MalformedException(String message) {
     super(message, null, false, false);
   }
 }
--- a/src/main/java/dunlincroft/protocol/WorkerReport.java
+++ b/src/main/java/dunlincroft/protocol/WorkerReport.java
@@ -8,42 +8,49 @@
 public record WorkerReport(
     String host,
     String endpoint,
-    String flavour,
-    String hall,
-    boolean lendable,
-    long tenure,
+    String machineType,
+    String zone,
+    boolean preemptible,
+    long sessionNumber,
     long counter,
     long fence,
-    double warningS,
-    List<Piece> pieces) {
+    double reclaimNoticeS,
+    List<TaskReport> tasks) {
 
   /** No notice from the cloud. */
-  public static final double NO_WARNING = -1;
+  public static final double NO_RECLAIM_NOTICE = -1;
 
   /** One task on the machine; {@code job} and {@code task} are taken from its id. */
-  public record Piece(
-      String id, String job, int task, long attempt, String status, String cause, boolean stored) {
-    public boolean exited() {
+  public record TaskReport(
+      String id,
+      String job,
+      int task,
+      long attempt,
+      String status,
+      String cause,
+      boolean isStateSaved) {
+    public boolean hasExited() {
       return status.equals(Wire.EXITED);
     }
   }
 
   /** Whether an answer of a worker to a question is that of a machine. */
-  public static boolean answers(String host, int status, byte[] body) {
+  public static boolean isAnswerOf(String host, int status, byte[] body) {
     try {
       return status == 200 && Fields.text(Cbor.parse(body), "host").equals(host);
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       return false;
     }
   }
 
   /** Whether this report was made after another one of the same worker. */
-  public boolean after(long otherTenure, long otherCounter) {
-    return tenure > otherTenure || (tenure == otherTenure && counter > otherCounter);
+  public boolean isNewerThan(long otherSessionNumber, long otherCounter) {
+    return sessionNumber > otherSessionNumber
+        || (sessionNumber == otherSessionNumber && counter > otherCounter);
   }
 
-  public static WorkerReport parse(JsonNode map) throws Malformed {
-    List<Piece> pieces = new ArrayList<>();
+  public static WorkerReport parse(JsonNode map) throws MalformedException {
+    List<TaskReport> tasks = new ArrayList<>();
     for (JsonNode item : Fields.list(map, "pieces")) {
       String id = Fields.text(item, "piece");
       int slash = id.lastIndexOf('/');
@@ -51,17 +58,17 @@
       try {
         task = Integer.parseInt(id.substring(slash + 1));
       } catch (NumberFormatException e) {
-        throw new Malformed("piece must have the form run-000412/3");
+        throw new MalformedException("piece must have the form run-000412/3");
       }
-      pieces.add(
-          new Piece(
+      tasks.add(
+          new TaskReport(
               id,
               id.substring(0, Math.max(slash, 0)),
               task,
               Fields.count(item, "try"),
               Fields.text(item, "status"),
               Fields.textOrNull(item, "cause"),
-              !Fields.absent(item, "stored") && Fields.flag(item, "stored")));
+              !Fields.isAbsent(item, "stored") && Fields.flag(item, "stored")));
     }
     return new WorkerReport(
         Fields.text(map, "host"),
@@ -72,7 +79,7 @@
         Fields.count(map, "tenure"),
         Fields.count(map, "counter"),
         Fields.count(map, "fence"),
-        Fields.amountOr(map, "warningS", NO_WARNING),
-        pieces);
+        Fields.amountOr(map, "warningS", NO_RECLAIM_NOTICE),
+        tasks);
   }
 }
--- a/src/main/java/dunlincroft/transport/Env.java
+++ b/src/main/java/dunlincroft/transport/Env.java
@@ -17,7 +17,7 @@
     public static final Reply NOT_SENT = new Reply(-1, new byte[0]);
 
     /** Whether the request may have been executed, or may yet be. */
-    public boolean left() {
+    public boolean mayBeExecuted() {
       return status != NOT_SENT.status;
     }
   }
@@ -33,10 +33,10 @@
 
   UniformRandomProvider random();
 
-  void after(long delayMs, Runnable then);
+  void after(long delayMs, Runnable task);
 
-  void call(Call call, Consumer<Reply> then);
+  void call(Call call, Consumer<Reply> callback);
 
   /** There will be no calls to this address soon: what is kept open to it may be closed. */
-  void leave(String address);
+  void closeIdleConnections(String address);
 }
--- a/src/main/java/dunlincroft/transport/HttpClient.java
+++ b/src/main/java/dunlincroft/transport/HttpClient.java
@@ -40,37 +40,39 @@
   private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
 
   private final EventLoopGroup group;
-  private final int maxReply;
+  private final int maxReplyBytes;
   private final Sockets sockets;
-  private final Set<String> kept;
-  private final Map<String, ArrayDeque<Connection>> idle = new Object2ObjectOpenHashMap<>();
+  private final Set<String> reservedAddresses;
+  private final Map<String, ArrayDeque<Connection>> idleConnections =
+      new Object2ObjectOpenHashMap<>();
 
   /**
-   * @param kept addresses that always get a connection; all others are workers'
+   * @param reservedAddresses addresses that always get a connection; all others are workers'
    */
-  HttpClient(EventLoopGroup group, int maxReply, Sockets sockets, Set<String> kept) {
+  HttpClient(
+      EventLoopGroup group, int maxReplyBytes, Sockets sockets, Set<String> reservedAddresses) {
     this.group = group;
-    this.maxReply = maxReply;
+    this.maxReplyBytes = maxReplyBytes;
     this.sockets = sockets;
-    this.kept = kept;
+    this.reservedAddresses = reservedAddresses;
   }
 
-  void call(Call call, Consumer<Reply> then) {
-    group.execute(() -> start(call, then));
+  void call(Call call, Consumer<Reply> callback) {
+    group.execute(() -> start(call, callback));
   }
 
   /** Closes the idle connections to an address. */
-  void leave(String address) {
+  void closeIdleConnections(String address) {
     group.execute(
         () -> {
-          ArrayDeque<Connection> pool = idle.remove(address);
+          ArrayDeque<Connection> pool = idleConnections.remove(address);
           if (pool != null) {
             pool.forEach(connection -> connection.channel.close());
           }
         });
   }
 
-  private void start(Call call, Consumer<Reply> then) {
+  private void start(Call call, Consumer<Reply> callback) {
     String address = call.address();
     byte[] body = call.body();
     DefaultFullHttpRequest request =
@@ -84,19 +86,20 @@
       request.headers().set(HttpHeaderNames.CONTENT_TYPE, Addresses.CBOR);
     }
     request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body == null ? 0 : body.length);
-    ArrayDeque<Connection> pool = idle.get(address);
+    ArrayDeque<Connection> pool = idleConnections.get(address);
     while (pool != null && !pool.isEmpty()) {
       Connection connection = pool.pollLast();
       if (connection.channel.isActive()) {
-        connection.send(request, call.timeoutMs(), then);
+        connection.send(request, call.timeoutMs(), callback);
         return;
       }
     }
     Sockets.Socket socket =
-        sockets.open(kept.contains(address) ? Sockets.Use.KEPT : Sockets.Use.ORDERS);
+        sockets.acquire(
+            reservedAddresses.contains(address) ? Sockets.Purpose.KEPT : Sockets.Purpose.ORDERS);
     if (socket == null) {
       request.release();
-      then.accept(Reply.NOT_SENT);
+      callback.accept(Reply.NOT_SENT);
       return;
     }
     Connection connection = new Connection(address, socket);
@@ -114,20 +117,20 @@
               .connect(Addresses.parse(address));
     } catch (IllegalArgumentException e) {
       LOG.info("no such address {}: {}", address, e.getMessage());
-      socket.gone();
-      then.accept(Reply.NOT_SENT);
+      socket.markClosed();
+      callback.accept(Reply.NOT_SENT);
       return;
     }
     connecting.addListener(
         done -> {
           if (done.isSuccess()) {
             connection.channel = connecting.channel();
-            socket.is(connection.channel);
-            connection.send(request, call.timeoutMs(), then);
+            socket.attach(connection.channel);
+            connection.send(request, call.timeoutMs(), callback);
           } else {
             request.release();
-            socket.gone();
-            then.accept(Reply.NOT_SENT);
+            socket.markClosed();
+            callback.accept(Reply.NOT_SENT);
           }
         });
   }
@@ -136,8 +139,8 @@
     private final String address;
     private final Sockets.Socket socket;
     private Channel channel;
-    private Consumer<Reply> waiting;
-    private Future<?> timer;
+    private Consumer<Reply> pendingCallback;
+    private Future<?> timeout;
 
     Connection(String address, Sockets.Socket socket) {
       this.address = address;
@@ -150,64 +153,64 @@
         protected void initChannel(Channel ch) {
           ch.pipeline()
               .addLast(new HttpClientCodec())
-              .addLast(new HttpObjectAggregator(maxReply))
+              .addLast(new HttpObjectAggregator(maxReplyBytes))
               .addLast(Connection.this);
         }
       };
     }
 
-    void send(DefaultFullHttpRequest request, long timeoutMs, Consumer<Reply> then) {
-      waiting = then;
-      socket.busy();
-      timer = group.schedule(() -> end(Reply.NONE, false), timeoutMs, TimeUnit.MILLISECONDS);
+    void send(DefaultFullHttpRequest request, long timeoutMs, Consumer<Reply> callback) {
+      pendingCallback = callback;
+      socket.markBusy();
+      timeout = group.schedule(() -> complete(Reply.NONE, false), timeoutMs, TimeUnit.MILLISECONDS);
       channel
           .writeAndFlush(request)
           .addListener(
               done -> {
                 if (!done.isSuccess()) {
-                  end(Reply.NONE, false);
+                  complete(Reply.NONE, false);
                 }
               });
     }
 
-    private void end(Reply reply, boolean keep) {
-      Consumer<Reply> then = waiting;
-      if (then == null) {
+    private void complete(Reply reply, boolean reusable) {
+      Consumer<Reply> callback = pendingCallback;
+      if (callback == null) {
         return;
       }
-      waiting = null;
-      timer.cancel(false);
-      if (keep && channel.isActive()) {
-        idle.computeIfAbsent(address, a -> new ArrayDeque<>()).addLast(this);
-        socket.idle();
+      pendingCallback = null;
+      timeout.cancel(false);
+      if (reusable && channel.isActive()) {
+        idleConnections.computeIfAbsent(address, a -> new ArrayDeque<>()).addLast(this);
+        socket.markIdle();
       } else {
         channel.close();
       }
-      then.accept(reply);
+      callback.accept(reply);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse msg) {
-      end(
+      complete(
           new Reply(msg.status().code(), ByteBufUtil.getBytes(msg.content())),
           HttpUtil.isKeepAlive(msg) && msg.decoderResult().isSuccess());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      end(Reply.NONE, false);
-      ArrayDeque<Connection> pool = idle.get(address);
+      complete(Reply.NONE, false);
+      ArrayDeque<Connection> pool = idleConnections.get(address);
       if (pool != null) {
         pool.remove(this);
         if (pool.isEmpty()) {
-          idle.remove(address);
+          idleConnections.remove(address);
         }
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      end(Reply.NONE, false);
+      complete(Reply.NONE, false);
       ctx.close();
     }
   }
--- a/src/main/java/dunlincroft/transport/HttpServer.java
+++ b/src/main/java/dunlincroft/transport/HttpServer.java
@@ -47,18 +47,18 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(SocketChannel ch) {
-                Sockets.Socket socket = env.sockets().open(Sockets.Use.SERVED);
+                Sockets.Socket socket = env.sockets().acquire(Sockets.Purpose.SERVED);
                 if (socket == null) {
                   // In time: past the limit connections would fail at random, hellos among them.
                   ch.close();
                   return;
                 }
-                socket.is(ch);
-                socket.idle();
+                socket.attach(ch);
+                socket.markIdle();
                 ch.pipeline()
                     .addLast(new HttpServerCodec())
                     .addLast(new HttpObjectAggregator(Constants.MAX_READ_BYTES))
-                    .addLast(new Exchange(socket));
+                    .addLast(new ExchangeHandler(socket));
               }
             })
         .bind(address)
@@ -66,38 +66,39 @@
         .channel();
   }
 
-  private final class Exchange extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private final class ExchangeHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final Sockets.Socket socket;
 
-    Exchange(Sockets.Socket socket) {
+    ExchangeHandler(Sockets.Socket socket) {
       this.socket = socket;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest msg) {
-      socket.busy();
-      boolean asked = HttpUtil.isKeepAlive(msg);
-      Responder out =
+      socket.markBusy();
+      boolean keepAliveRequested = HttpUtil.isKeepAlive(msg);
+      Responder responder =
           (status, body, retryAfterS) -> {
-            socket.idle();
+            socket.markIdle();
             // Who is sent elsewhere has no use for this connection, nor have we.
-            boolean keep = asked && status != MISDIRECTED;
-            send(ctx, keep, status, body, retryAfterS);
+            boolean keepAlive = keepAliveRequested && status != MISDIRECTED;
+            send(ctx, keepAlive, status, body, retryAfterS);
           };
       if (msg.decoderResult().isFailure()) {
-        out.send(HttpResponseStatus.BAD_REQUEST.code(), new byte[0], 0);
+        responder.send(HttpResponseStatus.BAD_REQUEST.code(), new byte[0], 0);
         return;
       }
       byte[] body = ByteBufUtil.getBytes(msg.content());
       String method = msg.method().name();
       String uri = msg.uri();
-      env.enter(
+      env.runLocked(
           () ->
               handler.handle(
                   method,
                   uri,
                   body,
-                  (status, data, retry) -> env.later(() -> out.send(status, data, retry))));
+                  (status, data, retry) ->
+                      env.sendAfterUnlock(() -> responder.send(status, data, retry))));
     }
 
     @Override
@@ -107,7 +108,7 @@
   }
 
   private static void send(
-      ChannelHandlerContext ctx, boolean keep, int status, byte[] body, int retryAfterS) {
+      ChannelHandlerContext ctx, boolean keepAlive, int status, byte[] body, int retryAfterS) {
     DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
@@ -116,7 +117,7 @@
     if (retryAfterS > 0) {
       response.headers().setInt(HttpHeaderNames.RETRY_AFTER, retryAfterS);
     }
-    if (keep) {
+    if (keepAlive) {
       ctx.writeAndFlush(response);
     } else {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
--- a/src/main/java/dunlincroft/transport/NettyEnv.java
+++ b/src/main/java/dunlincroft/transport/NettyEnv.java
@@ -27,23 +27,25 @@
   private final ReentrantLock lock = new ReentrantLock();
   private final ArrayDeque<Runnable> outbox = new ArrayDeque<>();
   private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create();
-  private final NanoClock steady;
-  private final EpochClock wall;
+  private final NanoClock monotonicClock;
+  private final EpochClock wallClock;
   private final Sockets sockets;
   private final HttpClient client;
 
   /** What connections the process may have. */
-  public record Limits(int sockets, double quietS, Set<String> kept) {}
+  public record SocketLimits(
+      int maxSockets, double maxRequestGapS, Set<String> reservedAddresses) {}
 
   /**
    * @param limits connections in all; seconds between two requests of one that comes regularly, at
    *     the most; and the addresses that always get a connection
    */
-  public NettyEnv(NanoClock steady, EpochClock wall, Limits limits) {
-    this.steady = steady;
-    this.wall = wall;
-    this.sockets = new Sockets(limits.sockets, limits.quietS);
-    this.client = new HttpClient(group, Constants.MAX_REPLY_BYTES, sockets, limits.kept);
+  public NettyEnv(NanoClock monotonicClock, EpochClock wallClock, SocketLimits limits) {
+    this.monotonicClock = monotonicClock;
+    this.wallClock = wallClock;
+    this.sockets = new Sockets(limits.maxSockets, limits.maxRequestGapS);
+    this.client =
+        new HttpClient(group, Constants.MAX_REPLY_BYTES, sockets, limits.reservedAddresses);
     group.scheduleWithFixedDelay(
         sockets::sweep,
         Constants.SOCKET_SWEEP_MS,
@@ -60,11 +62,11 @@
   }
 
   /** Runs state-changing code under the lock, then sends what it left in the outbox. */
-  public void enter(Runnable body) {
+  public void runLocked(Runnable action) {
     Runnable[] sends;
     lock.lock();
     try {
-      body.run();
+      action.run();
     } catch (RuntimeException e) {
       // A fault in one event must not end the process: the next event finds guarded state.
       LOG.error("event failed", e);
@@ -79,18 +81,18 @@
   }
 
   /** Keeps a send until the lock is free; called by guarded code only. */
-  void later(Runnable send) {
+  void sendAfterUnlock(Runnable send) {
     outbox.add(send);
   }
 
   @Override
   public long nowMillis() {
-    return TimeUnit.NANOSECONDS.toMillis(steady.nanoTime());
+    return TimeUnit.NANOSECONDS.toMillis(monotonicClock.nanoTime());
   }
 
   @Override
   public long wallMillis() {
-    return wall.time();
+    return wallClock.time();
   }
 
   @Override
@@ -99,22 +101,22 @@
   }
 
   @Override
-  public void after(long delayMs, Runnable then) {
+  public void after(long delayMs, Runnable task) {
     if (delayMs <= 0) {
       // Without a timer: the loop would ask for ready sockets once more before it.
-      group.execute(() -> enter(then));
+      group.execute(() -> runLocked(task));
     } else {
-      group.schedule(() -> enter(then), delayMs, TimeUnit.MILLISECONDS);
+      group.schedule(() -> runLocked(task), delayMs, TimeUnit.MILLISECONDS);
     }
   }
 
   @Override
-  public void call(Call call, Consumer<Reply> then) {
-    later(() -> client.call(call, reply -> enter(() -> then.accept(reply))));
+  public void call(Call call, Consumer<Reply> callback) {
+    sendAfterUnlock(() -> client.call(call, reply -> runLocked(() -> callback.accept(reply))));
   }
 
   @Override
-  public void leave(String address) {
-    later(() -> client.leave(address));
+  public void closeIdleConnections(String address) {
+    sendAfterUnlock(() -> client.closeIdleConnections(address));
   }
 }
--- a/src/main/java/dunlincroft/transport/Beat.java
+++ b/src/main/java/dunlincroft/transport/PeerHeartbeat.java
@@ -12,43 +12,61 @@
  *     the leader can rent others before they are given up; at most {@code
  *     Constants.SILENT_MACHINES_TOLD}
  */
-public record Beat(
+public record PeerHeartbeat(
     String node,
     long incarnation,
     long stateSilentMs,
-    double requests,
-    double writes,
-    long count,
-    List<Hearing> hearings,
+    double requestDemand,
+    double writeDemand,
+    long refutations,
+    List<PeerObservation> observations,
     Load load,
-    Told told,
+    CancellationReport cancellations,
     List<String> silentMachines) {
 
   /** A beat that tells of no silent machines. */
-  public Beat(
+  public PeerHeartbeat(
       String node,
       long incarnation,
       long stateSilentMs,
-      double requests,
-      double writes,
-      long count,
-      List<Hearing> hearings,
+      double requestDemand,
+      double writeDemand,
+      long refutations,
+      List<PeerObservation> observations,
       Load load,
-      Told told) {
+      CancellationReport cancellations) {
     this(
-        node, incarnation, stateSilentMs, requests, writes, count, hearings, load, told, List.of());
+        node,
+        incarnation,
+        stateSilentMs,
+        requestDemand,
+        writeDemand,
+        refutations,
+        observations,
+        load,
+        cancellations,
+        List.of());
   }
 
   /** A beat that tells nothing of load or cancellations. */
-  public Beat(
+  public PeerHeartbeat(
       String node,
       long incarnation,
       long stateSilentMs,
-      double requests,
-      double writes,
-      long count,
-      List<Hearing> hearings) {
-    this(node, incarnation, stateSilentMs, requests, writes, count, hearings, Load.NONE, Told.NONE);
+      double requestDemand,
+      double writeDemand,
+      long refutations,
+      List<PeerObservation> observations) {
+    this(
+        node,
+        incarnation,
+        stateSilentMs,
+        requestDemand,
+        writeDemand,
+        refutations,
+        observations,
+        Load.NONE,
+        CancellationReport.NONE);
   }
 
   /**
@@ -57,50 +75,52 @@
    * it has read the state service; the highest revision on which it has told any user of a
    * cancellation; and all cancellations that it has told of from revisions above {@code above}.
    */
-  public record Told(
-      long life,
+  public record CancellationReport(
+      long instanceId,
       long sentAt,
-      List<Echo> echoes,
-      long revision,
-      long highest,
-      long above,
-      List<Cancelled> cancelled) {
-    public static final Told NONE = new Told(0, 0, List.of(), 0, 0, 0, List.of());
+      List<HeartbeatEcho> echoes,
+      long readRevision,
+      long highestRevision,
+      long listedAbove,
+      List<CancelledJob> cancelledJobs) {
+    public static final CancellationReport NONE =
+        new CancellationReport(0, 0, List.of(), 0, 0, 0, List.of());
   }
 
   /** The newest beat that the sender has had of another controller: its life, and its clock. */
-  public record Echo(String node, long life, long sentAt) {}
+  public record HeartbeatEcho(String node, long instanceId, long sentAt) {}
 
   /** A job that a user was told is cancelled, and the revision that says so. */
-  public record Cancelled(String job, long revision) {}
+  public record CancelledJob(String job, long revision) {}
 
   /**
    * How many submissions a second the sender can accept, what is asked of it, and when those may
    * come again that it refused of late.
    */
-  public record Load(double admits, List<Flowing> flows, List<Promise> promises) {
+  public record Load(
+      double acceptRate, List<ClassDemand> classDemands, List<RetryReservation> retryReservations) {
     public static final Load NONE = new Load(0, List.of(), List.of());
   }
 
   /** Submissions a second of one team's class, with those that were told to come again. */
-  public record Flowing(String team, String jobclass, boolean prod, double asked) {}
+  public record ClassDemand(String team, String jobclass, boolean prod, double demandRate) {}
 
   /**
    * A job, by the hash of its id, whose turn is in so many milliseconds, or, without a turn, whose
    * user comes again then.
    */
-  public record Promise(long job, long inMs, boolean loose) {}
+  public record RetryReservation(long jobHash, long dueInMs, boolean tentative) {}
 
   /**
    * What the sender hears of another controller: for how many milliseconds it has been silent, the
    * highest count of its refutations that the sender knows, whether the sender suspects it, or
    * knows somebody who does at that count, and whether its connections are refused.
    */
-  public record Hearing(
+  public record PeerObservation(
       String node,
       long silentMs,
-      long count,
+      long refutations,
       boolean suspected,
-      boolean rumoured,
-      boolean refused) {}
+      boolean suspectedByAny,
+      boolean refusesConnections) {}
 }
--- a/src/main/java/dunlincroft/transport/PeerLink.java
+++ b/src/main/java/dunlincroft/transport/PeerLink.java
@@ -6,7 +6,7 @@
 import com.esotericsoftware.kryo.io.Input;
 import com.esotericsoftware.kryo.io.Output;
 import dunlincroft.Constants;
-import dunlincroft.transport.Beat.Hearing;
+import dunlincroft.transport.PeerHeartbeat.PeerObservation;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -49,33 +49,37 @@
    * Kryo's number of the beat's class. A new form gets a new number: frames of another version are
    * refused, and its controllers are then judged by their holds and workers alone.
    */
-  private static final int BEAT_ID = 14;
+  private static final int HEARTBEAT_ID = 14;
 
   private final NettyEnv env;
-  private final Kryo kryo = beatKryo();
-  private final Supplier<Beat> mine;
-  private final Consumer<Beat> heard;
-  private final Watch watch;
+  private final Kryo kryo = createKryo();
+  private final Supplier<PeerHeartbeat> localHeartbeat;
+  private final Consumer<PeerHeartbeat> heartbeatListener;
+  private final ConnectionListener connectionListener;
 
   /** Links that stand; all get their beats in the same turn, as each waking up has its price. */
-  private final Set<Channel> links = new LinkedHashSet<>();
+  private final Set<Channel> connections = new LinkedHashSet<>();
 
   /**
    * Told whether a controller refuses connections: its process is gone, or a filter stands there.
    */
-  public interface Watch {
-    void refused(String node, boolean refused);
+  public interface ConnectionListener {
+    void refusalChanged(String node, boolean refused);
   }
 
-  public PeerLink(NettyEnv env, Supplier<Beat> mine, Consumer<Beat> heard, Watch watch) {
+  public PeerLink(
+      NettyEnv env,
+      Supplier<PeerHeartbeat> localHeartbeat,
+      Consumer<PeerHeartbeat> heartbeatListener,
+      ConnectionListener connectionListener) {
     this.env = env;
-    this.mine = mine;
-    this.heard = heard;
-    this.watch = watch;
+    this.localHeartbeat = localHeartbeat;
+    this.heartbeatListener = heartbeatListener;
+    this.connectionListener = connectionListener;
   }
 
-  private static Hearing hearing(Input in) {
-    return new Hearing(
+  private static PeerObservation readObservation(Input in) {
+    return new PeerObservation(
         in.readString(),
         in.readLong(),
         in.readLong(),
@@ -84,159 +88,165 @@
         in.readBoolean());
   }
 
-  private static void writeLoad(Output out, Beat.Load load) {
-    out.writeDouble(load.admits());
-    out.writeInt(load.flows().size());
-    for (Beat.Flowing flow : load.flows()) {
-      out.writeString(flow.team());
-      out.writeString(flow.jobclass());
-      out.writeBoolean(flow.prod());
-      out.writeDouble(flow.asked());
+  private static void writeLoad(Output out, PeerHeartbeat.Load load) {
+    out.writeDouble(load.acceptRate());
+    out.writeInt(load.classDemands().size());
+    for (PeerHeartbeat.ClassDemand classDemand : load.classDemands()) {
+      out.writeString(classDemand.team());
+      out.writeString(classDemand.jobclass());
+      out.writeBoolean(classDemand.prod());
+      out.writeDouble(classDemand.demandRate());
     }
-    out.writeInt(load.promises().size());
-    for (Beat.Promise promise : load.promises()) {
-      out.writeLong(promise.job());
-      out.writeLong(promise.inMs());
-      out.writeBoolean(promise.loose());
+    out.writeInt(load.retryReservations().size());
+    for (PeerHeartbeat.RetryReservation reservation : load.retryReservations()) {
+      out.writeLong(reservation.jobHash());
+      out.writeLong(reservation.dueInMs());
+      out.writeBoolean(reservation.tentative());
     }
   }
 
-  private static Beat.Load load(Input in) {
-    return new Beat.Load(
+  private static PeerHeartbeat.Load readLoad(Input in) {
+    return new PeerHeartbeat.Load(
         in.readDouble(),
         Stream.generate(
                 () ->
-                    new Beat.Flowing(
+                    new PeerHeartbeat.ClassDemand(
                         in.readString(), in.readString(), in.readBoolean(), in.readDouble()))
             .limit(in.readInt())
             .toList(),
-        Stream.generate(() -> new Beat.Promise(in.readLong(), in.readLong(), in.readBoolean()))
+        Stream.generate(
+                () ->
+                    new PeerHeartbeat.RetryReservation(
+                        in.readLong(), in.readLong(), in.readBoolean()))
             .limit(in.readInt())
             .toList());
   }
 
-  private static void writeTold(Output out, Beat.Told told) {
-    out.writeLong(told.life());
-    out.writeLong(told.sentAt());
-    out.writeInt(told.echoes().size());
-    for (Beat.Echo echo : told.echoes()) {
+  private static void writeCancellations(
+      Output out, PeerHeartbeat.CancellationReport cancellations) {
+    out.writeLong(cancellations.instanceId());
+    out.writeLong(cancellations.sentAt());
+    out.writeInt(cancellations.echoes().size());
+    for (PeerHeartbeat.HeartbeatEcho echo : cancellations.echoes()) {
       out.writeString(echo.node());
-      out.writeLong(echo.life());
+      out.writeLong(echo.instanceId());
       out.writeLong(echo.sentAt());
     }
-    out.writeLong(told.revision());
-    out.writeLong(told.highest());
-    out.writeLong(told.above());
-    out.writeInt(told.cancelled().size());
-    for (Beat.Cancelled cancelled : told.cancelled()) {
+    out.writeLong(cancellations.readRevision());
+    out.writeLong(cancellations.highestRevision());
+    out.writeLong(cancellations.listedAbove());
+    out.writeInt(cancellations.cancelledJobs().size());
+    for (PeerHeartbeat.CancelledJob cancelled : cancellations.cancelledJobs()) {
       out.writeString(cancelled.job());
       out.writeLong(cancelled.revision());
     }
   }
 
-  private static Beat.Told told(Input in) {
-    return new Beat.Told(
+  private static PeerHeartbeat.CancellationReport readCancellations(Input in) {
+    return new PeerHeartbeat.CancellationReport(
         in.readLong(),
         in.readLong(),
-        Stream.generate(() -> new Beat.Echo(in.readString(), in.readLong(), in.readLong()))
+        Stream.generate(
+                () ->
+                    new PeerHeartbeat.HeartbeatEcho(in.readString(), in.readLong(), in.readLong()))
             .limit(in.readInt())
             .toList(),
         in.readLong(),
         in.readLong(),
         in.readLong(),
-        Stream.generate(() -> new Beat.Cancelled(in.readString(), in.readLong()))
+        Stream.generate(() -> new PeerHeartbeat.CancelledJob(in.readString(), in.readLong()))
             .limit(in.readInt())
             .toList());
   }
 
   /** The version before sent none. */
-  private static List<String> silentMachines(Input in) {
+  private static List<String> readSilentMachines(Input in) {
     return in.end() ? List.of() : Stream.generate(in::readString).limit(in.readInt()).toList();
   }
 
-  private static Kryo beatKryo() {
+  private static Kryo createKryo() {
     Kryo kryo = new Kryo();
     kryo.setRegistrationRequired(true);
     kryo.register(
-        Beat.class,
-        new Serializer<Beat>() {
+        PeerHeartbeat.class,
+        new Serializer<PeerHeartbeat>() {
           @Override
-          public void write(Kryo k, Output out, Beat beat) {
+          public void write(Kryo k, Output out, PeerHeartbeat beat) {
             out.writeString(beat.node());
             out.writeLong(beat.incarnation());
             out.writeLong(beat.stateSilentMs());
-            out.writeDouble(beat.requests());
-            out.writeDouble(beat.writes());
-            out.writeLong(beat.count());
-            out.writeInt(beat.hearings().size());
-            for (Hearing hearing : beat.hearings()) {
+            out.writeDouble(beat.requestDemand());
+            out.writeDouble(beat.writeDemand());
+            out.writeLong(beat.refutations());
+            out.writeInt(beat.observations().size());
+            for (PeerObservation hearing : beat.observations()) {
               out.writeString(hearing.node());
               out.writeLong(hearing.silentMs());
-              out.writeLong(hearing.count());
+              out.writeLong(hearing.refutations());
               out.writeBoolean(hearing.suspected());
-              out.writeBoolean(hearing.rumoured());
-              out.writeBoolean(hearing.refused());
+              out.writeBoolean(hearing.suspectedByAny());
+              out.writeBoolean(hearing.refusesConnections());
             }
             writeLoad(out, beat.load());
-            writeTold(out, beat.told());
+            writeCancellations(out, beat.cancellations());
             out.writeInt(beat.silentMachines().size());
             beat.silentMachines().forEach(out::writeString);
           }
 
           @Override
-          public Beat read(Kryo k, Input in, Class<? extends Beat> type) {
-            return new Beat(
+          public PeerHeartbeat read(Kryo k, Input in, Class<? extends PeerHeartbeat> type) {
+            return new PeerHeartbeat(
                 in.readString(),
                 in.readLong(),
                 in.readLong(),
                 in.readDouble(),
                 in.readDouble(),
                 in.readLong(),
-                Stream.generate(() -> hearing(in)).limit(in.readInt()).toList(),
-                load(in),
-                told(in),
-                silentMachines(in));
+                Stream.generate(() -> readObservation(in)).limit(in.readInt()).toList(),
+                readLoad(in),
+                readCancellations(in),
+                readSilentMachines(in));
           }
         },
-        BEAT_ID);
+        HEARTBEAT_ID);
     return kryo;
   }
 
-  byte[] encode(Beat beat) {
+  byte[] encode(PeerHeartbeat heartbeat) {
     Output out = new Output(64, Constants.LINK_FRAME_BYTES);
-    kryo.writeObject(out, beat);
+    kryo.writeObject(out, heartbeat);
     return out.toBytes();
   }
 
-  Beat decode(byte[] frame) {
-    return kryo.readObject(new Input(frame), Beat.class);
+  PeerHeartbeat decode(byte[] frame) {
+    return kryo.readObject(new Input(frame), PeerHeartbeat.class);
   }
 
   /** Accepts the others' beats at {@code back} and begins to send ours, to each by its name. */
-  public Channel start(InetSocketAddress back, Map<String, InetSocketAddress> others)
+  public Channel start(InetSocketAddress listenAddress, Map<String, InetSocketAddress> peers)
       throws InterruptedException {
-    others.forEach((node, address) -> connect(node, address));
+    peers.forEach((node, address) -> connect(node, address));
     env.group()
         .scheduleWithFixedDelay(
-            () -> beat(links), 0, Constants.LINK_BEAT_MS, TimeUnit.MILLISECONDS);
+            () -> sendHeartbeat(connections), 0, Constants.LINK_BEAT_MS, TimeUnit.MILLISECONDS);
     return new ServerBootstrap()
         .group(env.group())
         .channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childHandler(initializer(true))
-        .bind(back)
+        .bind(listenAddress)
         .sync()
         .channel();
   }
 
-  private ChannelInitializer<SocketChannel> initializer(boolean receiving) {
+  private ChannelInitializer<SocketChannel> initializer(boolean inbound) {
     return new ChannelInitializer<>() {
       @Override
       protected void initChannel(SocketChannel ch) {
         ch.pipeline()
             .addLast(new LengthFieldBasedFrameDecoder(Constants.LINK_FRAME_BYTES, 0, 2, 0, 2))
             .addLast(new LengthFieldPrepender(2))
-            .addLast(new Frames(receiving));
+            .addLast(new FrameHandler(inbound));
       }
     };
   }
@@ -254,55 +264,55 @@
               boolean refused =
                   done.cause() instanceof ConnectException
                       && !(done.cause() instanceof ConnectTimeoutException);
-              env.enter(() -> watch.refused(node, refused));
+              env.runLocked(() -> connectionListener.refusalChanged(node, refused));
               if (done.isSuccess()) {
                 Channel link = done.channel();
-                links.add(link);
-                beat(List.of(link));
+                connections.add(link);
+                sendHeartbeat(List.of(link));
                 // Asked at once whether it is the connection that ended, or the process.
                 link.closeFuture()
                     .addListener(
                         closed -> {
-                          links.remove(link);
-                          again(node, address, Constants.LINK_AGAIN_MS);
+                          connections.remove(link);
+                          scheduleConnect(node, address, Constants.LINK_AGAIN_MS);
                         });
               } else {
-                again(node, address, Constants.LINK_BEAT_MS);
+                scheduleConnect(node, address, Constants.LINK_BEAT_MS);
               }
             });
   }
 
-  private void again(String node, InetSocketAddress address, long delayMs) {
+  private void scheduleConnect(String node, InetSocketAddress address, long delayMs) {
     env.group().schedule(() -> connect(node, address), delayMs, TimeUnit.MILLISECONDS);
   }
 
-  private void beat(Collection<Channel> to) {
-    List<Channel> open = to.stream().filter(Channel::isWritable).toList();
+  private void sendHeartbeat(Collection<Channel> recipients) {
+    List<Channel> open = recipients.stream().filter(Channel::isWritable).toList();
     if (!open.isEmpty()) {
-      env.enter(
+      env.runLocked(
           () -> {
-            byte[] frame = encode(mine.get());
-            env.later(
+            byte[] frame = encode(localHeartbeat.get());
+            env.sendAfterUnlock(
                 () -> open.forEach(link -> link.writeAndFlush(Unpooled.wrappedBuffer(frame))));
           });
     }
   }
 
-  private final class Frames extends SimpleChannelInboundHandler<ByteBuf> {
-    private final boolean receiving;
+  private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
+    private final boolean inbound;
 
-    Frames(boolean receiving) {
-      this.receiving = receiving;
+    FrameHandler(boolean inbound) {
+      this.inbound = inbound;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf msg) {
-      if (!receiving) {
+      if (!inbound) {
         return;
       }
       try {
-        Beat beat = decode(ByteBufUtil.getBytes(msg));
-        env.enter(() -> heard.accept(beat));
+        PeerHeartbeat heartbeat = decode(ByteBufUtil.getBytes(msg));
+        env.runLocked(() -> heartbeatListener.accept(heartbeat));
       } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
         LOG.info("unreadable frame on the back link: {}", e.getMessage());
         ctx.close();
--- a/src/main/java/dunlincroft/transport/RequestHandler.java
+++ b/src/main/java/dunlincroft/transport/RequestHandler.java
@@ -3,5 +3,5 @@
 /** Takes the requests that a server receives. */
 @FunctionalInterface
 public interface RequestHandler {
-  void handle(String method, String path, byte[] body, Responder out);
+  void handle(String method, String path, byte[] body, Responder responder);
 }
--- a/src/main/java/dunlincroft/transport/Sockets.java
+++ b/src/main/java/dunlincroft/transport/Sockets.java
@@ -21,7 +21,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(Sockets.class);
 
   /** What a connection is for. */
-  enum Use {
+  enum Purpose {
     /** To the state service or the cloud: never refused. */
     KEPT,
     /** From a user, a worker or a health check. */
@@ -32,71 +32,71 @@
 
   /** One connection, or an attempt at one. */
   final class Socket {
-    private final Use use;
+    private final Purpose purpose;
     private Channel channel;
-    private long idleSince;
-    private boolean open = true;
+    private long idleSinceSweep;
+    private boolean isOpen = true;
 
-    private Socket(Use use) {
-      this.use = use;
+    private Socket(Purpose purpose) {
+      this.purpose = purpose;
     }
 
     /** The attempt has become a connection, which counts until it is closed. */
-    void is(Channel made) {
-      channel = made;
-      made.closeFuture().addListener(done -> gone());
+    void attach(Channel connected) {
+      channel = connected;
+      connected.closeFuture().addListener(done -> markClosed());
     }
 
-    void busy() {
-      idle.get(use).remove(this);
+    void markBusy() {
+      idleSockets.get(purpose).remove(this);
     }
 
-    void idle() {
-      if (open && use != Use.KEPT) {
-        idleSince = sweeps;
-        idle.get(use).remove(this);
-        idle.get(use).add(this);
+    void markIdle() {
+      if (isOpen && purpose != Purpose.KEPT) {
+        idleSinceSweep = sweeps;
+        idleSockets.get(purpose).remove(this);
+        idleSockets.get(purpose).add(this);
       }
     }
 
     /** It is closed, or the attempt has failed. */
-    void gone() {
-      if (open) {
-        open = false;
-        counts.merge(use, -1, Integer::sum);
-        idle.get(use).remove(this);
+    void markClosed() {
+      if (isOpen) {
+        isOpen = false;
+        openCounts.merge(purpose, -1, Integer::sum);
+        idleSockets.get(purpose).remove(this);
       }
     }
 
     private void close() {
-      gone();
+      markClosed();
       channel.close();
     }
   }
 
-  private final int most;
-  private final int ordersMost;
-  private final long servedIdle;
-  private final long pressedIdle;
-  private final Map<Use, Integer> counts = new EnumMap<>(Use.class);
-  private final Map<Use, Set<Socket>> idle = new EnumMap<>(Use.class);
+  private final int maxOpen;
+  private final int maxOpenForOrders;
+  private final long servedIdleSweeps;
+  private final long scarceIdleSweeps;
+  private final Map<Purpose, Integer> openCounts = new EnumMap<>(Purpose.class);
+  private final Map<Purpose, Set<Socket>> idleSockets = new EnumMap<>(Purpose.class);
   private long sweeps;
-  private int highest;
+  private int peakOpen;
   private int refused;
   private int evicted;
 
   /**
-   * @param limit connections that the process may have, all together
-   * @param quietS seconds between two requests of one that comes regularly, at the most
+   * @param processLimit connections that the process may have, all together
+   * @param maxRequestGapS seconds between two requests of one that comes regularly, at the most
    */
-  Sockets(int limit, double quietS) {
-    most = Math.max(1, (int) (limit * Constants.SOCKETS_PART) - Constants.SOCKETS_KEPT);
-    ordersMost = (int) (limit * Constants.ORDER_SOCKETS_PART);
-    pressedIdle = sweepsIn(Constants.PRESSED_QUIETS * quietS);
-    servedIdle = sweepsIn(Constants.SERVED_QUIETS * quietS);
-    for (Use use : Use.values()) {
-      counts.put(use, 0);
-      idle.put(use, new LinkedHashSet<>());
+  Sockets(int processLimit, double maxRequestGapS) {
+    maxOpen = Math.max(1, (int) (processLimit * Constants.SOCKETS_PART) - Constants.SOCKETS_KEPT);
+    maxOpenForOrders = (int) (processLimit * Constants.ORDER_SOCKETS_PART);
+    scarceIdleSweeps = sweepsIn(Constants.PRESSED_QUIETS * maxRequestGapS);
+    servedIdleSweeps = sweepsIn(Constants.SERVED_QUIETS * maxRequestGapS);
+    for (Purpose purpose : Purpose.values()) {
+      openCounts.put(purpose, 0);
+      idleSockets.put(purpose, new LinkedHashSet<>());
     }
   }
 
@@ -105,36 +105,36 @@
   }
 
   /** Connections and attempts at present. */
-  int open() {
-    return counts.values().stream().mapToInt(Integer::intValue).sum();
+  int acquire() {
+    return openCounts.values().stream().mapToInt(Integer::intValue).sum();
   }
 
   /** Room for one more, made by closing idle ones if need be; null when there is none. */
-  Socket open(Use use) {
-    int bound = use == Use.ORDERS ? Math.min(ordersMost, most) : most;
-    while (open() >= bound && evict(use)) {
+  Socket acquire(Purpose purpose) {
+    int bound = purpose == Purpose.ORDERS ? Math.min(maxOpenForOrders, maxOpen) : maxOpen;
+    while (acquire() >= bound && evict(purpose)) {
       evicted++;
     }
-    if (open() >= bound && use != Use.KEPT) {
+    if (acquire() >= bound && purpose != Purpose.KEPT) {
       refused++;
       return null;
     }
-    counts.merge(use, 1, Integer::sum);
-    highest = Math.max(highest, open());
-    return new Socket(use);
+    openCounts.merge(purpose, 1, Integer::sum);
+    peakOpen = Math.max(peakOpen, acquire());
+    return new Socket(purpose);
   }
 
   /** Closes the one that is missed least: an order can still go into the answer to a hello. */
-  private boolean evict(Use use) {
-    return close(Use.ORDERS, 0, 1) > 0
-        || (use != Use.ORDERS && close(Use.SERVED, pressedIdle, 1) > 0);
+  private boolean evict(Purpose purpose) {
+    return closeIdle(Purpose.ORDERS, 0, 1) > 0
+        || (purpose != Purpose.ORDERS && closeIdle(Purpose.SERVED, scarceIdleSweeps, 1) > 0);
   }
 
-  private int close(Use use, long idleFor, int atMost) {
+  private int closeIdle(Purpose purpose, long minIdleSweeps, int maxClosed) {
     int closed = 0;
-    while (closed < atMost && !idle.get(use).isEmpty()) {
-      Socket oldest = idle.get(use).iterator().next();
-      if (sweeps - oldest.idleSince < idleFor) {
+    while (closed < maxClosed && !idleSockets.get(purpose).isEmpty()) {
+      Socket oldest = idleSockets.get(purpose).iterator().next();
+      if (sweeps - oldest.idleSinceSweep < minIdleSweeps) {
         break;
       }
       oldest.close();
@@ -146,18 +146,21 @@
   /** Closes what has been idle for long; called every {@link Constants#SOCKET_SWEEP_MS}. */
   void sweep() {
     sweeps++;
-    close(Use.ORDERS, sweepsIn(Constants.ORDERS_IDLE_S), Integer.MAX_VALUE);
-    close(Use.SERVED, open() >= ordersMost ? pressedIdle : servedIdle, Integer.MAX_VALUE);
+    closeIdle(Purpose.ORDERS, sweepsIn(Constants.ORDERS_IDLE_S), Integer.MAX_VALUE);
+    closeIdle(
+        Purpose.SERVED,
+        acquire() >= maxOpenForOrders ? scarceIdleSweeps : servedIdleSweeps,
+        Integer.MAX_VALUE);
     if (sweeps % (Constants.FIGURES_MS / Constants.SOCKET_SWEEP_MS) == 0) {
       LOG.info(
           "sockets: {} now, {} at most of {}; {} idle; {} refused, {} closed for others",
-          counts,
-          highest,
-          most,
-          idle.get(Use.ORDERS).size() + idle.get(Use.SERVED).size(),
+          openCounts,
+          peakOpen,
+          maxOpen,
+          idleSockets.get(Purpose.ORDERS).size() + idleSockets.get(Purpose.SERVED).size(),
           refused,
           evicted);
-      highest = open();
+      peakOpen = acquire();
       refused = 0;
       evicted = 0;
     }
--- a/src/test/java/dunlincroft/SettingsTest.java
+++ b/src/test/java/dunlincroft/SettingsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -22,7 +22,7 @@
       """;
 
   @Test
-  void aSoundFileIsReadAndUnknownFieldsAreIgnored() throws Malformed {
+  void aSoundFileIsReadAndUnknownFieldsAreIgnored() throws MalformedException {
     Settings settings = Settings.parse(SOUND);
     assertThat(settings.others()).hasSize(1);
     assertThat(settings.state()).isEqualTo("10.2.0.1:2379");
@@ -46,7 +46,7 @@
       })
   void aFaultNamesItsField(String good, String bad, String named) {
     assertThatThrownBy(() -> Settings.parse(SOUND.replace(good, bad)))
-        .isInstanceOf(Malformed.class)
+        .isInstanceOf(MalformedException.class)
         .hasMessageContaining(named);
   }
 
--- a/src/test/java/dunlincroft/admission/UserSimulation.java
+++ b/src/test/java/dunlincroft/admission/UserSimulation.java
@@ -2,7 +2,7 @@
 
 import dunlincroft.Constants;
 import dunlincroft.sim.VirtualClock;
-import dunlincroft.transport.Beat;
+import dunlincroft.transport.PeerHeartbeat;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
@@ -163,7 +163,7 @@
   private void exchangeLoads() {
     for (Node node : nodes) {
       node.admission.tick(rate, clock.now());
-      Beat.Load load = node.admission.load(clock.now());
+      PeerHeartbeat.Load load = node.admission.load(clock.now());
       for (Node other : nodes) {
         if (other != node && isLinked) {
           clock.after(
--- a/src/test/java/dunlincroft/bookkeeping/JobIndexTest.java
+++ b/src/test/java/dunlincroft/bookkeeping/JobIndexTest.java
@@ -8,7 +8,7 @@
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.LogRecord;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.PageRecord;
 import dunlincroft.protocol.TaskState;
 import dunlincroft.protocol.Wire;
@@ -46,7 +46,7 @@
       history.add(new Change(Wire.key(kind, name), data, history.size() + 1));
     }
 
-    void step() throws Malformed {
+    void step() throws MalformedException {
       int action = random.nextInt(8);
       if (expected.isEmpty() || action == 0) {
         String ref = "run-" + random.nextInt(1000);
@@ -68,7 +68,7 @@
     private void appendLogEntry(String ref) {
       BitSet done = new BitSet();
       BitSet free = new BitSet();
-      List<TaskState.Place> places = new ArrayList<>();
+      List<TaskState.TaskPlacement> places = new ArrayList<>();
       for (int i = random.nextInt(3); i >= 0; i--) {
         int task = random.nextInt(TASKS);
         boolean named =
@@ -80,7 +80,8 @@
           case 0 -> done.set(task);
           case 1 -> free.set(task);
           default ->
-              places.add(new TaskState.Place(task, "host-" + random.nextInt(9), entryNumber));
+              places.add(
+                  new TaskState.TaskPlacement(task, "host-" + random.nextInt(9), entryNumber));
         }
       }
       entryNumber++;
@@ -103,7 +104,7 @@
     private void writePage(String ref) {
       int page = random.nextInt((TASKS + PAGE_TASKS - 1) / PAGE_TASKS);
       BitSet done = new BitSet();
-      List<TaskState.Place> places = new ArrayList<>();
+      List<TaskState.TaskPlacement> places = new ArrayList<>();
       expected
           .get(ref)
           .forEach(
@@ -113,7 +114,7 @@
                   done.set(at);
                 } else if (at >= 0 && at < PAGE_TASKS) {
                   String[] parts = state.split("#");
-                  places.add(new TaskState.Place(at, parts[0], Long.parseLong(parts[1])));
+                  places.add(new TaskState.TaskPlacement(at, parts[0], Long.parseLong(parts[1])));
                 }
               });
       PageRecord record =
@@ -122,7 +123,7 @@
     }
   }
 
-  private static JobSpec spec(String ref) throws Malformed {
+  private static JobSpec spec(String ref) throws MalformedException {
     return JobSpec.parse(
         Cbor.map()
             .put("ref", ref)
@@ -166,7 +167,7 @@
    * time after acquiring the shard.
    */
   @Property(seed = "23", tries = 300)
-  void listingDuringChangesConvergesToWrittenState(@ForAll long seed) throws Malformed {
+  void listingDuringChangesConvergesToWrittenState(@ForAll long seed) throws MalformedException {
     Random random = new Random(seed);
     Writer writer = new Writer(random);
     for (int i = 0; i < 80; i++) {
@@ -197,7 +198,7 @@
   }
 
   @Test
-  void malformedRecordMakesItsJobsUnreadable() throws Malformed {
+  void malformedRecordMakesItsJobsUnreadable() throws MalformedException {
     Replica replica = new Replica();
     JobIndex index = new JobIndex(replica);
     replica.setListener(index::onChange);
--- a/src/test/java/dunlincroft/bookkeeping/StateStoreFairnessTest.java
+++ b/src/test/java/dunlincroft/bookkeeping/StateStoreFairnessTest.java
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void leave(String address) {
+    public void closeIdleConnections(String address) {
       throw new AssertionError("connections to the state service must be kept");
     }
 
--- a/src/test/java/dunlincroft/bookkeeping/StateStoreTest.java
+++ b/src/test/java/dunlincroft/bookkeeping/StateStoreTest.java
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public void leave(String address) {
+    public void closeIdleConnections(String address) {
       throw new AssertionError("connections to the state service must be kept");
     }
 
--- a/src/test/java/dunlincroft/calendar/PlanTest.java
+++ b/src/test/java/dunlincroft/calendar/PlanTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.LocalDate;
@@ -34,7 +34,8 @@
         .formatted(zone, more, window);
   }
 
-  private static List<Night> nights(String document, String from, String to) throws Malformed {
+  private static List<Night> nights(String document, String from, String to)
+      throws MalformedException {
     return Plan.parse(document).nights(LocalDate.parse(from), LocalDate.parse(to), 1);
   }
 
@@ -57,7 +58,8 @@
     "12:00, 18:00, 2026-07-01, 2026-07-01T11:00:00Z, 2026-07-01T17:00:00Z"
   })
   void nightsInWhichClocksChangeAreDefined(
-      String opens, String cutOff, String date, Instant from, Instant to) throws Malformed {
+      String opens, String cutOff, String date, Instant from, Instant to)
+      throws MalformedException {
     String week = "days = [\"mon\",\"tue\",\"wed\",\"thu\",\"fri\",\"sat\",\"sun\"]";
     String window = "opens = \"%s\"\ncut_off = \"%s\"".formatted(opens, cutOff);
     List<Night> nights = nights(document("Europe/London", week, window), date, date);
@@ -74,7 +76,7 @@
     "modified_following, 2026-01-30",
     "skip, ''"
   })
-  void aDateThatIsNoTradingDayIsRolled(String roll, String date) throws Malformed {
+  void aDateThatIsNoTradingDayIsRolled(String roll, String date) throws MalformedException {
     String window =
         "day_of_month = -1\nopens = \"21:00\"\ncut_off = \"05:00\"\nroll = \"%s\"".formatted(roll);
     String document = document("Africa/Nairobi", "holidays = [\"2026-02-02\"]", window);
@@ -82,7 +84,7 @@
   }
 
   @Test
-  void halfDaysOpenEarlierAndHolidaysHaveNoNight() throws Malformed {
+  void halfDaysOpenEarlierAndHolidaysHaveNoNight() throws MalformedException {
     String market = "holidays = [\"2026-12-25\"]\nhalf_days = [\"2026-12-24\"]";
     String window = "opens = \"17:00\"\nopens_on_half_days = \"12:30\"\ncut_off = \"06:00\"";
     List<Night> nights =
@@ -115,7 +117,7 @@
         roll = "sideways"
         """;
     assertThatThrownBy(() -> Plan.parse(faulty))
-        .isInstanceOf(Malformed.class)
+        .isInstanceOf(MalformedException.class)
         .extracting(Throwable::getMessage)
         .asString()
         .contains(
@@ -144,7 +146,7 @@
       @ForAll @IntRange(max = 1439) int opens,
       @ForAll @IntRange(max = 1439) int cutOff,
       @ForAll @IntRange(max = 3000) int day)
-      throws Malformed {
+      throws MalformedException {
     if (opens == cutOff) {
       return;
     }
--- a/src/test/java/dunlincroft/coordination/JobRunTest.java
+++ b/src/test/java/dunlincroft/coordination/JobRunTest.java
@@ -4,7 +4,7 @@
 
 import dunlincroft.conditions.Condition.CutOffAction;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -25,7 +25,7 @@
         false,
         JobSpec.Rank.NORMAL,
         TASKS,
-        new Room(1000, 0, 1000),
+        new Resources(1000, 0, 1000),
         "image",
         1,
         null,
@@ -36,7 +36,7 @@
         100,
         10,
         FLUSH_S,
-        JobSpec.NO_DUE);
+        JobSpec.NO_DEADLINE);
   }
 
   private Placement place(int task) {
--- a/src/test/java/dunlincroft/coordination/ShardLogTest.java
+++ b/src/test/java/dunlincroft/coordination/ShardLogTest.java
@@ -7,9 +7,9 @@
 import dunlincroft.bookkeeping.Replica;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.LogRecord;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.TaskState;
-import dunlincroft.protocol.TaskState.Place;
+import dunlincroft.protocol.TaskState.TaskPlacement;
 import java.util.BitSet;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -24,7 +24,7 @@
 class ShardLogTest {
   private static ObjectNode entry(long number, String host) {
     TaskState state =
-        new TaskState(new BitSet(), new BitSet(), List.of(new Place(3, host, 77)), false);
+        new TaskState(new BitSet(), new BitSet(), List.of(new TaskPlacement(3, host, 77)), false);
     return new LogRecord.Entry(number, "run-1", state).toNode();
   }
 
@@ -37,12 +37,12 @@
     return log;
   }
 
-  private static ObjectNode read(ObjectNode written) throws Malformed {
+  private static ObjectNode read(ObjectNode written) throws MalformedException {
     return Cbor.parse(Cbor.bytes(written));
   }
 
   @Test
-  void anOwnWriteIsRecognizedAsRecorded() throws Malformed {
+  void anOwnWriteIsRecognizedAsRecorded() throws MalformedException {
     ShardLog log = log();
     ObjectNode written = log.currentSlotWith(List.of(entry(5, "host-a")));
     log.setCurrentSlot(read(written), 12);
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aSuccessorsEntryOfTheSameNumberIsNotTakenForAnOwnOne() throws Malformed {
+  void aSuccessorsEntryOfTheSameNumberIsNotTakenForAnOwnOne() throws MalformedException {
     ShardLog log = log();
     ObjectNode written = log.currentSlotWith(List.of(entry(5, "host-a")));
     log.setCurrentSlot(read(log.currentSlotWith(List.of(entry(5, "host-b")))), 12);
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void aMissingSlotIsNotRecorded() throws Malformed {
+  void aMissingSlotIsNotRecorded() throws MalformedException {
     ShardLog log = log();
     ObjectNode written = log.currentSlotWith(List.of(entry(5, "host-a")));
     log.setCurrentSlot(null, 0);
--- a/src/test/java/dunlincroft/limits/SharePlanTest.java
+++ b/src/test/java/dunlincroft/limits/SharePlanTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -24,36 +24,37 @@
   /** At most one transfer of each shard for each request, and one for spare capacity. */
   private static final int MAX_STEPS = 6;
 
-  private static Room cpus(long cpus) {
-    return new Room(cpus, 0, 0);
+  private static Resources cpus(long cpus) {
+    return new Resources(cpus, 0, 0);
   }
 
-  private static long sum(Map<String, Room> resources) {
-    return resources.values().stream().mapToLong(Room::cpu).sum();
+  private static long sum(Map<String, Resources> resources) {
+    return resources.values().stream().mapToLong(Resources::cpu).sum();
   }
 
   /** What each shard has and uses, and the requests of the shards that wait. */
   private record State(
-      Map<String, Room> parts, Map<String, Room> used, List<ShareRequest> requests) {
+      Map<String, Resources> parts, Map<String, Resources> used, List<ShareRequest> requests) {
     List<Transfer> plan() {
-      Map<String, Room> work = new HashMap<>(used);
-      requests.forEach(request -> work.merge(request.shard(), request.taskResources(), Room::plus));
+      Map<String, Resources> work = new HashMap<>(used);
+      requests.forEach(
+          request -> work.merge(request.shard(), request.taskResources(), Resources::plus));
       return SharePlan.transfers(parts, used, work, requests);
     }
 
     State after(String source) {
-      Map<String, Room> next = new TreeMap<>(parts);
+      Map<String, Resources> next = new TreeMap<>(parts);
       for (Transfer transfer : plan()) {
         if (transfer.from().equals(source)) {
-          next.merge(source, transfer.amount(), Room::minus);
-          next.merge(transfer.to(), transfer.amount(), Room::plus);
+          next.merge(source, transfer.amount(), Resources::minus);
+          next.merge(transfer.to(), transfer.amount(), Resources::plus);
         }
       }
       return new State(next, used, requests);
     }
 
     long unused(String shard) {
-      return parts.get(shard).cpu() - used.getOrDefault(shard, Room.NONE).cpu();
+      return parts.get(shard).cpu() - used.getOrDefault(shard, Resources.NONE).cpu();
     }
   }
 
@@ -74,8 +75,8 @@
   }
 
   private static State state(int split, int use, int wait) {
-    Map<String, Room> parts = new TreeMap<>();
-    Map<String, Room> used = new TreeMap<>();
+    Map<String, Resources> parts = new TreeMap<>();
+    Map<String, Resources> used = new TreeMap<>();
     List<ShareRequest> requests = new ArrayList<>();
     for (String shard : SHARDS) {
       int part = split % (MAX_PART + 1);
@@ -137,7 +138,7 @@
   /** Five shards with 3 processors each; one of them is to start a task of 4. */
   @Test
   void smallRemaindersOfManyShardsAreCombined() {
-    Map<String, Room> parts = new TreeMap<>();
+    Map<String, Resources> parts = new TreeMap<>();
     for (int i = 0; i < 5; i++) {
       parts.put("n" + i, cpus(3));
     }
--- a/src/test/java/dunlincroft/membership/CancellationHistories.java
+++ b/src/test/java/dunlincroft/membership/CancellationHistories.java
@@ -2,7 +2,7 @@
 
 import dunlincroft.Constants;
 import dunlincroft.sim.VirtualClock;
-import dunlincroft.transport.Beat;
+import dunlincroft.transport.PeerHeartbeat;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -154,8 +154,8 @@
     void sendHeartbeats() {
       // Before the first read, the age counts from the start of the process.
       long stateSilentMs = now() - (synced ? readAt : startedAt);
-      Beat heartbeat =
-          new Beat(
+      PeerHeartbeat heartbeat =
+          new PeerHeartbeat(
               name,
               0,
               stateSilentMs,
@@ -163,7 +163,7 @@
               0,
               0,
               List.of(),
-              Beat.Load.NONE,
+              PeerHeartbeat.Load.NONE,
               watermark.createReport(now(), revision, stateSilentMs));
       for (Node other : nodes) {
         if (other != this) {
@@ -175,17 +175,22 @@
       }
     }
 
-    void heartbeatReceived(Node from, Beat heartbeat) {
+    void heartbeatReceived(Node from, PeerHeartbeat heartbeat) {
       int index = nodes.indexOf(from);
       silentMs[index] = heartbeat.stateSilentMs();
       heardAt[index] = now();
-      Beat received = heartbeat;
+      PeerHeartbeat received = heartbeat;
       if (fault == PlantedFault.CLOSED_AT_ARRIVAL_TIME) {
-        Beat.Told report = heartbeat.told();
-        List<Beat.Echo> echoes = new ArrayList<>();
-        report.echoes().forEach(echo -> echoes.add(new Beat.Echo(echo.node(), echo.life(), now())));
+        PeerHeartbeat.CancellationReport report = heartbeat.cancellations();
+        List<PeerHeartbeat.HeartbeatEcho> echoes = new ArrayList<>();
+        report
+            .echoes()
+            .forEach(
+                echo ->
+                    echoes.add(
+                        new PeerHeartbeat.HeartbeatEcho(echo.node(), echo.instanceId(), now())));
         received =
-            new Beat(
+            new PeerHeartbeat(
                 heartbeat.node(),
                 0,
                 heartbeat.stateSilentMs(),
@@ -193,17 +198,17 @@
                 0,
                 0,
                 List.of(),
-                Beat.Load.NONE,
-                new Beat.Told(
-                    report.life(),
+                PeerHeartbeat.Load.NONE,
+                new PeerHeartbeat.CancellationReport(
+                    report.instanceId(),
                     report.sentAt(),
                     echoes,
-                    report.revision(),
-                    report.highest(),
-                    report.above(),
-                    report.cancelled()));
+                    report.readRevision(),
+                    report.highestRevision(),
+                    report.listedAbove(),
+                    report.cancelledJobs()));
       }
-      for (Beat.Cancelled cancellation :
+      for (PeerHeartbeat.CancelledJob cancellation :
           watermark.heartbeatReceived(received, now(), revision, readAt)) {
         if (fault != PlantedFault.RECEIVED_AND_DROPPED) {
           known.add(cancellation.revision());
--- a/src/test/java/dunlincroft/membership/FailureDetectorTest.java
+++ b/src/test/java/dunlincroft/membership/FailureDetectorTest.java
@@ -6,8 +6,8 @@
 import dunlincroft.membership.HeartbeatHistories.Kind;
 import dunlincroft.membership.HeartbeatHistories.Verdicts;
 import dunlincroft.membership.Succession.Candidate;
-import dunlincroft.transport.Beat;
-import dunlincroft.transport.Beat.Hearing;
+import dunlincroft.transport.PeerHeartbeat;
+import dunlincroft.transport.PeerHeartbeat.PeerObservation;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashSet;
@@ -47,23 +47,25 @@
     long now = from;
     for (; now < until; now += Constants.LINK_BEAT_MS) {
       for (String node : nodes) {
-        detector.heartbeatReceived(new Beat(node, 1, 0, 0, 0, 0, List.of()), now);
+        detector.heartbeatReceived(new PeerHeartbeat(node, 1, 0, 0, 0, 0, List.of()), now);
       }
       detector.tick(now);
     }
     return now;
   }
 
-  private static Hearing observation(String node, long silentMs, long count, boolean suspected) {
-    return new Hearing(node, silentMs, count, suspected, suspected, false);
+  private static PeerObservation observation(
+      String node, long silentMs, long count, boolean suspected) {
+    return new PeerObservation(node, silentMs, count, suspected, suspected, false);
   }
 
   /** Peers c, d and e send an observation of b with each heartbeat. */
-  private static long relay(FailureDetector detector, Hearing observed, long from, long until) {
+  private static long relay(
+      FailureDetector detector, PeerObservation observed, long from, long until) {
     long now = from;
     for (; now < until; now += 100) {
       for (String node : List.of("c", "d", "e")) {
-        detector.heartbeatReceived(new Beat(node, 1, 0, 0, 0, 0, List.of(observed)), now);
+        detector.heartbeatReceived(new PeerHeartbeat(node, 1, 0, 0, 0, 0, List.of(observed)), now);
       }
       detector.tick(now);
     }
@@ -79,7 +81,7 @@
     FailureDetector detector = new FailureDetector("a", OTHERS, 0);
     long now = heartbeatsFrom(detector, OTHERS, 0, 20_000);
     for (int i = 0; i < Constants.BEATS_KEPT; i++) {
-      detector.heartbeatReceived(new Beat("b", 1, 0, 0, 0, 0, List.of()), now);
+      detector.heartbeatReceived(new PeerHeartbeat("b", 1, 0, 0, 0, 0, List.of()), now);
     }
     detector.tick(now + 3 * Constants.LINK_BEAT_MS / 2);
     assertThat(detector.state("b")).isEqualTo(PeerState.TRUSTED);
@@ -93,13 +95,13 @@
   void heartbeatsOfAnEarlierIncarnationAreIgnored() {
     FailureDetector detector = new FailureDetector("a", OTHERS, 0);
     long now = heartbeatsFrom(detector, OTHERS, 0, 20_000);
-    detector.heartbeatReceived(new Beat("b", 2, 0, 0, 0, 0, List.of()), now);
+    detector.heartbeatReceived(new PeerHeartbeat("b", 2, 0, 0, 0, 0, List.of()), now);
     for (int i = 0; i < 30; i++) {
-      detector.heartbeatReceived(new Beat("b", 1, 0, 0, 0, 0, List.of()), now);
+      detector.heartbeatReceived(new PeerHeartbeat("b", 1, 0, 0, 0, 0, List.of()), now);
       now = relay(detector, observation("b", 100, 0, false), now, now + 100);
     }
     assertThat(detector.state("b")).isEqualTo(PeerState.SUSPECTED);
-    detector.heartbeatReceived(new Beat("b", 0, 0, 0, 0, 0, List.of()), now);
+    detector.heartbeatReceived(new PeerHeartbeat("b", 0, 0, 0, 0, 0, List.of()), now);
     assertThat(detector.state("b"))
         .as("a third incarnation, before its session lease")
         .isEqualTo(PeerState.TRUSTED);
@@ -124,7 +126,7 @@
     FailureDetector detector = new FailureDetector("a", OTHERS, 0);
     long now = heartbeatsFrom(detector, OTHERS, 0, 20_000);
     detector.connectionRefused("b", true);
-    Hearing unreachable = new Hearing("b", 3000, 0, true, true, true);
+    PeerObservation unreachable = new PeerObservation("b", 3000, 0, true, true, true);
     for (int i = 0; i < 20; i++) {
       now = relay(detector, unreachable, now, now + 300);
       detector.recordWritten("b", now);
--- a/src/test/java/dunlincroft/membership/HeartbeatHistories.java
+++ b/src/test/java/dunlincroft/membership/HeartbeatHistories.java
@@ -2,7 +2,7 @@
 
 import dunlincroft.Constants;
 import dunlincroft.sim.VirtualClock;
-import dunlincroft.transport.Beat;
+import dunlincroft.transport.PeerHeartbeat;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -84,7 +84,7 @@
     final String name;
     final FailureDetector detector;
     final Map<String, Long> heardAt = new HashMap<>();
-    final Map<String, Beat> heartbeats = new HashMap<>();
+    final Map<String, PeerHeartbeat> heartbeats = new HashMap<>();
     final Set<String> condemnations = new HashSet<>();
     long downSince = -1;
     long pausedUntil;
@@ -117,7 +117,8 @@
       for (Node other : nodes) {
         if (other != this) {
           detector.connectionRefused(other.name, other.downSince >= 0);
-          Beat heartbeat = new Beat(name, 1, 0, 0, 0, 0, detector.observations(clock.now()));
+          PeerHeartbeat heartbeat =
+              new PeerHeartbeat(name, 1, 0, 0, 0, 0, detector.observations(clock.now()));
           long delay = 1 + random.nextInt(5);
           while (random.nextDouble() < kind.loss) {
             delay += 200 + random.nextInt(300);
@@ -132,7 +133,7 @@
       }
     }
 
-    void heartbeatReceived(Beat heartbeat) {
+    void heartbeatReceived(PeerHeartbeat heartbeat) {
       detector.heartbeatReceived(heartbeat, clock.now());
       heardAt.put(heartbeat.node(), clock.now());
       heartbeats.put(heartbeat.node(), heartbeat);
@@ -182,7 +183,7 @@
       long silentFor =
           heartbeats.values().stream()
               .filter(heartbeat -> clock.now() - heardAt.get(heartbeat.node()) <= 900)
-              .flatMap(heartbeat -> heartbeat.hearings().stream())
+              .flatMap(heartbeat -> heartbeat.observations().stream())
               .filter(hearing -> hearing.node().equals(node))
               .filter(hearing -> hearing.silentMs() > ms)
               .count();
--- a/src/test/java/dunlincroft/operators/PolicyTest.java
+++ b/src/test/java/dunlincroft/operators/PolicyTest.java
@@ -7,8 +7,8 @@
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.MachineType;
-import dunlincroft.protocol.Malformed;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.MalformedException;
+import dunlincroft.protocol.Resources;
 import java.util.List;
 import java.util.Random;
 import net.jqwik.api.ForAll;
@@ -20,9 +20,9 @@
 
 class PolicyTest {
   private static final MachineType TYPE =
-      new MachineType("m16", Room.floor(16, 0, 64), 2, 1, 30, List.of("a"));
+      new MachineType("m16", Resources.roundedDown(16, 0, 64), 2, 1, 30, List.of("a"));
 
-  private static JobSpec job(String team) throws Malformed {
+  private static JobSpec job(String team) throws MalformedException {
     return JobSpec.parse(
         Cbor.map()
             .put("ref", "run-1")
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void rulesDependOnWhatTheirScopeOffers() throws Malformed {
+  void rulesDependOnWhatTheirScopeOffers() throws MalformedException {
     Policy policy =
         Policy.parse(
             """
@@ -89,7 +89,7 @@
       })
   void faultsNameTheirPlace(String file, String message) {
     assertThatThrownBy(() -> Policy.parse(file))
-        .isInstanceOf(Malformed.class)
+        .isInstanceOf(MalformedException.class)
         .hasMessageContaining(message);
   }
 
@@ -98,10 +98,10 @@
     assertThatThrownBy(() -> Policy.parse("# one\n  bound = ?;"))
         .hasMessageContaining("line 2, column 11");
     assertThatThrownBy(() -> Policy.parse("bound = " + "(".repeat(100_000)))
-        .isInstanceOf(Malformed.class)
+        .isInstanceOf(MalformedException.class)
         .hasMessageContaining("nested too deeply");
     assertThatThrownBy(() -> Policy.parse("buffer = 0" + " + tasks".repeat(100_000)))
-        .isInstanceOf(Malformed.class)
+        .isInstanceOf(MalformedException.class)
         .hasMessageContaining("too long");
   }
 
@@ -109,20 +109,20 @@
   void noTextDoesMoreThanFailItsCheck(@ForAll @StringLength(max = 60) String text) {
     try {
       assertThat(Policy.parse("buffer = " + text)).isNotNull();
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       assertThat(e.getMessage()).matches("(?s)line [0-9]+, column [0-9]+: .+");
     }
   }
 
   /** Every generated expression of numbers passes, and has a value in range for every input. */
   @Property(seed = "4", tries = 1000)
-  void whatPassesHasAValueInItsRange(@ForAll long seed) throws Malformed {
+  void whatPassesHasAValueInItsRange(@ForAll long seed) throws MalformedException {
     String text = number(new Random(seed), 3);
     JobSpec spec = job("red");
     try {
       double value = Policy.parse("buffer = " + text + ";").buffer(spec);
       assertThat(value).isBetween(0.0, Constants.BUFFER_MOST);
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       assertThat(e.getMessage()).as(text).contains("buffer must be from");
     }
   }
--- a/src/test/java/dunlincroft/protocol/CodecTest.java
+++ b/src/test/java/dunlincroft/protocol/CodecTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class CodecTest {
-  private static ObjectNode sound() {
+  private static ObjectNode validJob() {
     return Cbor.map()
         .put("ref", "run-000412")
         .put("jobclass", "train")
@@ -42,62 +42,63 @@
   }
 
   @Property(seed = "7", tries = 300)
-  void jobDescriptionsSurviveTheirRecord(
-      @ForAll @IntRange(min = 1, max = 100_000) int pieces,
+  void jobSpecsSurviveEncoding(
+      @ForAll @IntRange(min = 1, max = 100_000) int taskCount,
       @ForAll @IntRange(min = 0, max = 64_000) int milli,
-      @ForAll boolean daemon,
-      @ForAll boolean due)
-      throws Malformed {
+      @ForAll boolean isService,
+      @ForAll boolean hasDeadline)
+      throws MalformedException {
     ObjectNode map =
-        sound()
-            .put("pieces", pieces)
+        validJob()
+            .put("pieces", taskCount)
             .put("cpus", milli / 1000.0)
-            .put("shape", daemon ? "daemon" : "batch");
-    if (due) {
+            .put("shape", isService ? "daemon" : "batch");
+    if (hasDeadline) {
       map.put("dueS", 900.0).put("hall", "a").putArray("flavours").add("g8");
     }
     JobSpec spec = JobSpec.parse(Cbor.parse(Cbor.bytes(map)));
     assertThat(JobSpec.parse(Cbor.parse(Cbor.bytes(spec.toNode())))).isEqualTo(spec);
-    assertThat(spec.room().cpu()).isEqualTo(milli);
+    assertThat(spec.resources().cpu()).isEqualTo(milli);
   }
 
   @Property(seed = "11", tries = 200)
-  void pagesSurviveAndFitTheirValue(
-      @ForAll long seed, @ForAll @IntRange(min = 1, max = 97) int tasks) throws Malformed {
+  void pagesSurviveEncodingAndFitIntoAValue(
+      @ForAll long seed, @ForAll @IntRange(min = 1, max = 97) int tasks) throws MalformedException {
     Random random = new Random(seed);
     BitSet done = new BitSet();
-    List<TaskState.Place> places = new ArrayList<>();
+    List<TaskState.TaskPlacement> placements = new ArrayList<>();
     for (int task = 0; task < tasks; task++) {
       if (random.nextInt(3) == 0) {
         done.set(task);
       } else if (random.nextInt(3) > 0) {
         long attempt = (1L << 34) + random.nextInt(1 << 24);
-        places.add(
-            new TaskState.Place(
+        placements.add(
+            new TaskState.TaskPlacement(
                 task, String.format("host-%06d", random.nextInt(1_000_000)), attempt));
       }
     }
     boolean faulty = random.nextBoolean();
     PageRecord page =
-        new PageRecord(new TaskState(done, new BitSet(), places, faulty), random.nextInt(99_999));
+        new PageRecord(
+            new TaskState(done, new BitSet(), placements, faulty), random.nextInt(99_999));
     PageRecord record = PageRecord.parse(Cbor.parse(Cbor.bytes(page.toNode())));
-    assertThat(record.upTo()).isEqualTo(page.upTo());
-    TaskState back = record.state();
-    assertThat(back.done()).isEqualTo(done);
-    assertThat(back.faulty()).isEqualTo(faulty);
-    Set<TaskState.Place> same = new HashSet<>(places);
-    assertThat(new HashSet<>(back.places())).isEqualTo(same);
+    assertThat(record.upToEntry()).isEqualTo(page.upToEntry());
+    TaskState parsedState = record.state();
+    assertThat(parsedState.done()).isEqualTo(done);
+    assertThat(parsedState.faulty()).isEqualTo(faulty);
+    Set<TaskState.TaskPlacement> expectedPlacements = new HashSet<>(placements);
+    assertThat(new HashSet<>(parsedState.placements())).isEqualTo(expectedPlacements);
     assertThat(page.toNode().toString().length()).isLessThan(4096);
   }
 
   @Test
-  void blocksAreReadAsThisVersionAndTheOneBeforeWroteThem() throws Malformed {
+  void blocksOfThisAndThePreviousVersionAreRead() throws MalformedException {
     BlockClass spot = new BlockClass("g8", "a", true);
     BlockRecord block =
         new BlockRecord("croft-1", spot, Map.of("host-000001", 5L, "host-000002", 6L));
     assertThat(BlockRecord.parse("b-1", Cbor.parse(Cbor.bytes(block.toNode())))).isEqualTo(block);
     assertThat(block.without(List.of("host-000001")).hosts()).containsOnlyKeys("host-000002");
-    assertThat(block.part(List.of("host-000001"), "croft-2"))
+    assertThat(block.subset(List.of("host-000001"), "croft-2"))
         .isEqualTo(new BlockRecord("croft-2", spot, Map.of("host-000001", 5L)));
     ObjectNode before =
         Cbor.map().put("flavour", "g8").put("hall", "a").put("lendable", true).put("at", 7);
@@ -107,11 +108,11 @@
   }
 
   @Property(seed = "13", tries = 500)
-  void noBytesDoMoreThanFailToParse(@ForAll byte[] bytes) {
+  void arbitraryBytesOnlyFailToParse(@ForAll byte[] bytes) {
     try {
       JobSpec.parse(Cbor.parse(bytes));
       WorkerReport.parse(Cbor.parse(bytes));
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       assertThat(e.getMessage()).isNotBlank();
     }
   }
@@ -138,10 +139,10 @@
         "flushS"
       })
   void aMissingOrMistypedFieldIsNamed(String field) {
-    ObjectNode missing = sound();
+    ObjectNode missing = validJob();
     missing.remove(field);
     assertThatThrownBy(() -> JobSpec.parse(missing)).hasMessageContaining(field);
-    ObjectNode wrong = sound();
+    ObjectNode wrong = validJob();
     wrong.putArray(field);
     assertThatThrownBy(() -> JobSpec.parse(wrong)).hasMessageContaining(field);
   }
@@ -149,22 +150,22 @@
   @Test
   void amountsMustBeFiniteAndNotNegative() {
     for (double bad : new double[] {-1, Double.NaN, Double.POSITIVE_INFINITY}) {
-      assertThatThrownBy(() -> JobSpec.parse(sound().put("cpus", bad)))
-          .isInstanceOf(Malformed.class);
+      assertThatThrownBy(() -> JobSpec.parse(validJob().put("cpus", bad)))
+          .isInstanceOf(MalformedException.class);
     }
-    assertThatThrownBy(() -> JobSpec.parse(sound().put("pieces", 100_001)))
-        .isInstanceOf(Malformed.class);
-    assertThatThrownBy(() -> JobSpec.parse(sound().put("shape", "group")))
-        .isInstanceOf(Malformed.class);
+    assertThatThrownBy(() -> JobSpec.parse(validJob().put("pieces", 100_001)))
+        .isInstanceOf(MalformedException.class);
+    assertThatThrownBy(() -> JobSpec.parse(validJob().put("shape", "group")))
+        .isInstanceOf(MalformedException.class);
     assertThatThrownBy(() -> Cbor.parse("{}".getBytes(StandardCharsets.UTF_8)))
-        .isInstanceOf(Malformed.class);
+        .isInstanceOf(MalformedException.class);
   }
 
   @Test
-  void optionalFieldsMayBeLeftOut() throws Malformed {
-    JobSpec spec = JobSpec.parse(sound());
-    assertThat(spec.flavours()).isNull();
-    assertThat(spec.hall()).isNull();
-    assertThat(spec.dueS()).isEqualTo(JobSpec.NO_DUE);
+  void optionalFieldsMayBeLeftOut() throws MalformedException {
+    JobSpec spec = JobSpec.parse(validJob());
+    assertThat(spec.machineTypes()).isNull();
+    assertThat(spec.requiredZone()).isNull();
+    assertThat(spec.deadlineS()).isEqualTo(JobSpec.NO_DEADLINE);
   }
 }
--- a/src/test/java/dunlincroft/sim/AliveTest.java
+++ b/src/test/java/dunlincroft/sim/AliveTest.java
@@ -4,7 +4,7 @@
 
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -38,13 +38,13 @@
     assertThat(ghosts).as("machines in blocks that the cloud does not have").isEmpty();
   }
 
-  static SimCluster busy(long seed, Size size) throws Malformed {
+  static SimCluster busy(long seed, Size size) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.PRESET, size);
     cluster.checks.troublesOver(AT_MS + 80_000);
     Random random = new Random(seed);
     for (int i = 0; i < 80; i++) {
       JobSpec spec = RulesTest.job(random, i);
-      long cancelAfter = spec.daemon() ? 200_000 : 0;
+      long cancelAfter = spec.isService() ? 200_000 : 0;
       cluster.clock.after(5000 + 200L * i, () -> cluster.user(spec, cancelAfter));
     }
     cluster.clock.runUntil(AT_MS);
@@ -55,14 +55,14 @@
   static Set<String> whole(SimCluster cluster, List<SimWorker> on) {
     Set<String> refs = new HashSet<>();
     on.forEach(worker -> refs.addAll(services(worker)));
-    refs.removeIf(ref -> cluster.checks.running(ref) < cluster.uploaded(ref).pieces());
+    refs.removeIf(ref -> cluster.checks.running(ref) < cluster.uploaded(ref).taskCount());
     return refs;
   }
 
   private static Set<String> services(SimWorker worker) {
     Set<String> refs = new HashSet<>();
     for (SimWorker.Task task : worker.tasks.values()) {
-      if (task.on() && task.spec.daemon()) {
+      if (task.on() && task.spec.isService()) {
         refs.add(task.spec.ref());
       }
     }
@@ -95,7 +95,7 @@
     "22,3,2,4"
   })
   void servicesOfDeafMachinesAreSoonElsewhere(long seed, int controllers, int down, double reportS)
-      throws Malformed {
+      throws MalformedException {
     Size size = new Size(controllers, 60, 80, 8, 8, 80, reportS);
     SimCluster cluster = busy(seed, size);
     int holder = cluster.nodeIndex(cluster.holderName());
@@ -108,7 +108,7 @@
     List<SimWorker> deaf = fullest(cluster, 5);
     Set<String> hit = whole(cluster, deaf);
     // The other team's limit is full: what it has lost room of waits for other work of its own.
-    hit.removeIf(ref -> !cluster.uploaded(ref).owner().equals("blue"));
+    hit.removeIf(ref -> !cluster.uploaded(ref).team().equals("blue"));
     deaf.forEach(worker -> worker.deafen(120_000));
     assertThat(hit).hasSizeGreaterThan(5);
     long third = 0;
@@ -121,14 +121,14 @@
     assertThat(cluster.holderName()).as("no fault of the holder's").isEqualTo("n" + holder);
     cluster.clock.runUntil(third + 5000);
     int up = hit.stream().mapToInt(ref -> cluster.checks.runningElsewhere(ref, deaf)).sum();
-    int all = hit.stream().mapToInt(ref -> cluster.uploaded(ref).pieces()).sum();
+    int all = hit.stream().mapToInt(ref -> cluster.uploaded(ref).taskCount()).sum();
     assertThat((double) up / all).isGreaterThanOrEqualTo(0.95);
     holds(cluster);
   }
 
   /** What is over before it is acted on costs no machine. */
   @Test
-  void aMachineThatIsDeafForAMomentIsKept() throws Malformed {
+  void aMachineThatIsDeafForAMomentIsKept() throws MalformedException {
     SimCluster cluster = busy(22, Size.FLEET);
     List<SimWorker> deaf = fullest(cluster, 5);
     deaf.forEach(worker -> worker.deafen(2500));
@@ -139,7 +139,7 @@
 
   /** Our own sending side is broken: nothing is released for it at once. */
   @Test
-  void whenNobodyHearsUsNoMachineIsToBlame() throws Malformed {
+  void whenNobodyHearsUsNoMachineIsToBlame() throws MalformedException {
     SimCluster cluster = busy(23, Size.FLEET);
     cluster.cloud.machines.values().forEach(worker -> worker.deafen(9000));
     cluster.clock.runUntil(AT_MS + 14_000);
@@ -153,14 +153,14 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void lateCopiesAreNoSignOfLife(long seed) throws Malformed {
+  void lateCopiesAreNoSignOfLife(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
     cluster.checks.troublesOver(180_000);
     cluster.copies = 0.3;
     Random random = new Random(seed);
     for (int i = 0; i < 80; i++) {
       JobSpec spec = RulesTest.job(random, i);
-      cluster.clock.after(5000 + 400L * i, () -> cluster.user(spec, spec.daemon() ? 60_000 : 0));
+      cluster.clock.after(5000 + 400L * i, () -> cluster.user(spec, spec.isService() ? 60_000 : 0));
     }
     for (int i = 0; i < 6; i++) {
       long at = 25_000 + 20_000L * i;
@@ -176,7 +176,7 @@
 
   /** A machine that is gone sounds alive at a new holder only to who believes copies. */
   @Test
-  void aNewHolderStartsNothingOnAMachineKnownFromCopiesAlone() throws Malformed {
+  void aNewHolderStartsNothingOnAMachineKnownFromCopiesAlone() throws MalformedException {
     SimCluster cluster = busy(24, Size.FLEET);
     cluster.copies = 1;
     cluster.copiesWithinMs = 15_000;
@@ -200,7 +200,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {-1, 0, 100, 300, 700, 1100, 1500, 2500})
-  void workersThatBeginAnewGoOn(long afterCrash) throws Malformed {
+  void workersThatBeginAnewGoOn(long afterCrash) throws MalformedException {
     SimCluster cluster = busy(25, Size.FLEET);
     if (afterCrash >= 0) {
       cluster.crashHolder(afterCrash % 200 == 0 ? 200 : 30_000);
@@ -210,7 +210,8 @@
     Set<String> hit = whole(cluster, anew);
     anew.forEach(worker -> worker.restart(100 + cluster.random.nextInt(300)));
     cluster.clock.runUntil(cluster.clock.now() + 9000);
-    assertThat(hit).allMatch(ref -> cluster.checks.running(ref) == cluster.uploaded(ref).pieces());
+    assertThat(hit)
+        .allMatch(ref -> cluster.checks.running(ref) == cluster.uploaded(ref).taskCount());
     assertThat(anew).as("kept").noneMatch(worker -> worker.gone);
     holds(cluster);
   }
@@ -218,7 +219,7 @@
   /** The busiest loses state service and other controllers, not its workers and users. */
   @ParameterizedTest
   @ValueSource(longs = {6000, 25_000, 60_000})
-  void aControllerAloneWithItsWorkersHoldsNobodyUp(long ms) throws Malformed {
+  void aControllerAloneWithItsWorkersHoldsNobodyUp(long ms) throws MalformedException {
     SimCluster cluster = busy(26, Size.FLEET);
     String alone = cluster.holderName();
     cluster.cutHolderFromControllers(ms);
@@ -236,7 +237,7 @@
   /** Processes that are back at once, at every step of an election and of what follows. */
   @ParameterizedTest
   @ValueSource(longs = {0, 50, 150, 250, 400, 600, 900, 1300, 1800, 2600})
-  void backWithinAMomentInTheMiddleOfAnElection(long after) throws Malformed {
+  void backWithinAMomentInTheMiddleOfAnElection(long after) throws MalformedException {
     SimCluster cluster = busy(27, Size.FLEET);
     cluster.crashHolder(100 + cluster.random.nextInt(300));
     cluster.clock.runUntil(cluster.clock.now() + after);
@@ -255,7 +256,7 @@
 
   /** The check itself can fail: nobody is answered once the state service stays away. */
   @Test
-  void anUnansweredJobIsFound() throws Malformed {
+  void anUnansweredJobIsFound() throws MalformedException {
     SimCluster cluster = busy(28, Size.FLEET);
     cluster.checks.troublesOver(AT_MS);
     cluster.state.outage(90_000);
--- a/src/test/java/dunlincroft/sim/CalendarTest.java
+++ b/src/test/java/dunlincroft/sim/CalendarTest.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.Map;
 import java.util.Random;
@@ -75,11 +75,12 @@
     }
   }
 
-  private static SimCluster night(long seed, String document) throws Malformed {
+  private static SimCluster night(long seed, String document) throws MalformedException {
     return night(seed, document, Policy.PRESET);
   }
 
-  private static SimCluster night(long seed, String document, Policy policy) throws Malformed {
+  private static SimCluster night(long seed, String document, Policy policy)
+      throws MalformedException {
     SimCluster cluster = new SimCluster(seed, policy, Size.FLEET);
     cluster.put("calendar", document);
     cluster.checks.window("simple", OPENS_MS, CUT_OFF_MS);
@@ -100,7 +101,7 @@
 
   @ParameterizedTest
   @EnumSource(Fault.class)
-  void nothingOfAWindowBeginsOutsideOfIt(Fault fault) throws Malformed {
+  void nothingOfAWindowBeginsOutsideOfIt(Fault fault) throws MalformedException {
     SimCluster cluster = night(41, document("stop", "22:16"));
     cluster.clock.after(OPENS_MS - 1500, () -> fault.act.accept(cluster));
     cluster.clock.after(CUT_OFF_MS - 8000, () -> fault.act.accept(cluster));
@@ -129,7 +130,7 @@
    * A night goes on by the version that it began with; the next version holds for those to come.
    */
   @Test
-  void aNewVersionDoesNotTouchANightThatIsOpen() throws Malformed {
+  void aNewVersionDoesNotTouchANightThatIsOpen() throws MalformedException {
     SimCluster cluster = night(42, document("finish", "22:16"));
     cluster.clock.runUntil(OPENS_MS + 20_000);
     assertThat(phase(cluster).asText()).isEqualTo("open");
@@ -144,7 +145,7 @@
 
   /** Without a document nothing is written or held up. */
   @Test
-  void withoutADocumentNothingIsSaid() throws Malformed {
+  void withoutADocumentNothingIsSaid() throws MalformedException {
     SimCluster cluster = new SimCluster(43, Policy.PRESET, Size.FLEET);
     cluster.clock.after(5000, () -> cluster.user(RulesTest.simple("run-a", "blue", 20, 1), 0));
     cluster.clock.runUntil(60_000);
--- a/src/test/java/dunlincroft/sim/CancelAtEndTest.java
+++ b/src/test/java/dunlincroft/sim/CancelAtEndTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.HashSet;
 import java.util.Random;
@@ -45,7 +45,7 @@
 
   private int answeredWithdrawn;
 
-  private SimCluster smallJobs(long seed) throws Malformed {
+  private SimCluster smallJobs(long seed) throws MalformedException {
     reported.clear();
     SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
     Random random = new Random(seed);
@@ -69,7 +69,7 @@
     for (JsonNode piece : body.path("pieces")) {
       String ref = piece.path("piece").asText().split("/")[0];
       int ended = cluster.checks.completed.getOrDefault(ref, Set.of()).size();
-      boolean last = ended == cluster.uploaded(ref).pieces();
+      boolean last = ended == cluster.uploaded(ref).taskCount();
       if (last && piece.path("cause").asText().equals("done") && reported.add(ref)) {
         boolean there = random.nextBoolean();
         int node = there ? holderOf(cluster, ref) : random.nextInt(cluster.nodeCount());
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void cancellationsMeetTheEndOfTheLastTask() throws Malformed {
+  void cancellationsMeetTheEndOfTheLastTask() throws MalformedException {
     for (long seed = 1; seed <= 4; seed++) {
       play(smallJobs(seed));
     }
@@ -127,7 +127,7 @@
 
   /** The same while the holder changes, at the very moment of some ends. */
   @Test
-  void andTheHolderChanges() throws Malformed {
+  void andTheHolderChanges() throws MalformedException {
     for (long seed = 5; seed <= 8; seed++) {
       SimCluster cluster = smallJobs(seed);
       long away = seed % 2 == 0 ? 200 : 8000;
--- a/src/test/java/dunlincroft/sim/CancelChecksTest.java
+++ b/src/test/java/dunlincroft/sim/CancelChecksTest.java
@@ -6,8 +6,8 @@
 import dunlincroft.Constants;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
-import dunlincroft.protocol.Order;
+import dunlincroft.protocol.MalformedException;
+import dunlincroft.protocol.WorkerOrder;
 import dunlincroft.sim.SimWorker.Task;
 import dunlincroft.transport.Env;
 import java.util.List;
@@ -29,8 +29,8 @@
 
   /** Plants a start, under the highest token there is. */
   private static void plant(SimCluster cluster, SimWorker worker, JobSpec spec) {
-    List<Order> orders = List.of(Order.run(spec.ref() + "/0", 7));
-    ObjectNode body = Order.body(1L << 40, orders).put("tenure", worker.tenure());
+    List<WorkerOrder> orders = List.of(WorkerOrder.run(spec.ref() + "/0", 7));
+    ObjectNode body = WorkerOrder.body(1L << 40, orders).put("tenure", worker.tenure());
     Env.Call call =
         new Env.Call(
             worker.address, "POST", "/commands", Cbor.bytes(body), Constants.WORKER_CALL_MS);
@@ -40,7 +40,7 @@
   /** A controller that orders a start long after the cancellation; one in flight is counted. */
   @ParameterizedTest
   @ValueSource(longs = {200, 4500, 20_000})
-  void startsAfterTheWordAreFound(long afterMs) throws Malformed {
+  void startsAfterTheWordAreFound(long afterMs) throws MalformedException {
     SimCluster cluster = busy(1);
     cluster.clock.runUntil(AT_MS);
     JobSpec spec = cancelled(cluster);
@@ -56,7 +56,7 @@
 
   /** An order that had left before is on its way: allowed, and counted. */
   @Test
-  void startsInFlightAreCounted() throws Malformed {
+  void startsInFlightAreCounted() throws MalformedException {
     SimCluster cluster = busy(1);
     cluster.clock.runUntil(AT_MS);
     JobSpec spec = RulesTest.simple("run-cancelled", "blue", 2, 1, 60, 0);
@@ -75,7 +75,7 @@
   /** Cancelled tasks of a machine that nobody reaches and that hung; planted: without a lease. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void cancelledTasksThatGoOnAfterAHangAreFound(boolean keepsTasks) throws Malformed {
+  void cancelledTasksThatGoOnAfterAHangAreFound(boolean keepsTasks) throws MalformedException {
     SimCluster cluster = busy(2);
     cluster.clock.runUntil(AT_MS);
     List<JobSpec> running = cluster.runLong();
--- a/src/test/java/dunlincroft/sim/CancelDuringHandoverTest.java
+++ b/src/test/java/dunlincroft/sim/CancelDuringHandoverTest.java
@@ -4,7 +4,7 @@
 
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.HandChanges.Change;
 import dunlincroft.sim.HandChanges.Step;
 import java.util.List;
@@ -33,14 +33,14 @@
   private int nextNode;
 
   /** The busy cluster, with more jobs, and all that is done in it watched. */
-  private SimCluster watched(long seed, Policy policy) throws Malformed {
+  private SimCluster watched(long seed, Policy policy) throws MalformedException {
     SimCluster cluster = busy(seed, policy);
     Random random = new Random(seed + 1000);
     for (int i = 100; i < 300; i++) {
       JobSpec spec = PairsTest.job(random, i);
       jobs.add(spec);
       long at = 12_000 + 200L * (i - 100);
-      cluster.clock.after(at, () -> cluster.user(spec, spec.daemon() ? 150_000 : 0));
+      cluster.clock.after(at, () -> cluster.user(spec, spec.isService() ? 150_000 : 0));
     }
     log = new CancelLog(cluster);
     hands = new HandChanges(cluster);
@@ -119,7 +119,8 @@
   /** The holder ends for good or for a moment; who takes its work over is another, or it itself. */
   @ParameterizedTest
   @CsvSource({"1,15000,0", "2,200,23", "4,15000,7", "5,200,55"})
-  void cancelledWhileASuccessorTakesOver(long seed, long awayMs, long offsetMs) throws Malformed {
+  void cancelledWhileASuccessorTakesOver(long seed, long awayMs, long offsetMs)
+      throws MalformedException {
     SimCluster cluster =
         watched(seed, seed % 2 == 0 ? Policy.parse("holder_machines = 12;") : Policy.PRESET);
     cluster.clock.runUntil(AT_MS);
@@ -140,7 +141,7 @@
   /** Another took a shard, and hands it back, with blocks and shares going from one to another. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void cancelledWhileAShardGoesBack(long seed) throws Malformed {
+  void cancelledWhileAShardGoesBack(long seed) throws MalformedException {
     SimCluster cluster = watched(seed, Policy.parse("holder_machines = 6;"));
     int[] given = new int[1];
     cluster.clock.runUntil(AT_MS);
--- a/src/test/java/dunlincroft/sim/CancelLog.java
+++ b/src/test/java/dunlincroft/sim/CancelLog.java
@@ -94,7 +94,7 @@
     String ref = entry.path("job").asText();
     for (JsonNode group : entry.path("at")) {
       for (int i = 2; i < group.size(); i++) {
-        String start = Wire.piece(ref, group.get(i).asInt()) + " try " + group.get(1).asLong();
+        String start = Wire.taskId(ref, group.get(i).asInt()) + " try " + group.get(1).asLong();
         if (!starts.add(start)) {
           continue;
         }
--- a/src/test/java/dunlincroft/sim/Checks.java
+++ b/src/test/java/dunlincroft/sim/Checks.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import dunlincroft.sim.SimWorker.Task;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -108,24 +108,24 @@
   /** A run order took effect: the task now takes room and may run. */
   void onMachine(SimWorker worker, Task task) {
     cancelledStarts.started(worker, task);
-    String owner = task.spec.owner();
+    String owner = task.spec.team();
     on(task.spec.ref()).add(new On(worker, task));
     waiting.arrived(task.spec.ref());
-    Room limit = cluster.settings.teams().get(owner).limit();
+    Resources limit = cluster.settings.teams().get(owner).limit();
     if (limit.cpu() > cluster.cpusOfAll()) {
       return;
     }
     List<On> all = new ArrayList<>();
     for (String ref : List.copyOf(byJob.keySet())) {
-      if (cluster.uploaded(ref).owner().equals(owner)) {
+      if (cluster.uploaded(ref).team().equals(owner)) {
         all.addAll(on(ref));
       }
     }
-    Room sum = Room.NONE;
+    Resources sum = Resources.NONE;
     for (On each : all) {
-      sum = sum.plus(each.task.spec.room());
+      sum = sum.plus(each.task.spec.resources());
     }
-    if (!sum.fits(limit)) {
+    if (!sum.fitsInto(limit)) {
       broke("quota", owner + " takes " + sum + ": " + all.stream().map(On::toString).toList());
     }
   }
@@ -135,7 +135,7 @@
     starts++;
     JobSpec spec = task.spec;
     begun.computeIfAbsent(spec.ref(), ref -> cluster.clock.now());
-    if (spec.daemon() && running(spec.ref()) == spec.pieces()) {
+    if (spec.isService() && running(spec.ref()) == spec.taskCount()) {
       whole.add(spec.ref());
     }
     int inZone = 0;
@@ -149,11 +149,12 @@
       }
       if (each.worker.hall.equals(worker.hall)) {
         inZone++;
-      } else if (spec.samePlace()) {
+      } else if (spec.sameZone()) {
         broke("wrong_place", task.piece + " apart from " + there.piece);
       }
     }
-    if (!spec.allows(SimCluster.TYPE, worker.hall, worker.cheap) || inZone > spec.zoneMost()) {
+    if (!spec.allows(SimCluster.TYPE, worker.hall, worker.cheap)
+        || inZone > spec.maxTasksPerZone()) {
       broke("wrong_place", task.piece + " on " + worker.host);
     }
     late(worker, task);
@@ -299,13 +300,13 @@
       if (!cluster.broken.contains(ref)) {
         JobSpec spec = cluster.uploaded(ref);
         groups.computeIfAbsent("class " + spec.jobclass(), g -> new ArrayList<>()).add(ref);
-        groups.computeIfAbsent("team " + spec.owner(), g -> new ArrayList<>()).add(ref);
+        groups.computeIfAbsent("team " + spec.team(), g -> new ArrayList<>()).add(ref);
       }
     }
     for (String group : List.copyOf(groups.keySet())) {
       if (group.startsWith("class ")) {
         List<String> bySize = new ArrayList<>(groups.get(group));
-        bySize.sort(Comparator.comparingInt(ref -> -cluster.uploaded(ref).pieces()));
+        bySize.sort(Comparator.comparingInt(ref -> -cluster.uploaded(ref).taskCount()));
         groups.put("largest of " + group, bySize.subList(0, (bySize.size() + 9) / 10));
       }
     }
@@ -326,7 +327,8 @@
   double leastDone() {
     return least(
         ref -> true,
-        ref -> cluster.uploaded(ref).daemon() ? whole.contains(ref) : toldFinal.containsKey(ref));
+        ref ->
+            cluster.uploaded(ref).isService() ? whole.contains(ref) : toldFinal.containsKey(ref));
   }
 
   private double least(Predicate<String> counts, Predicate<String> served) {
@@ -354,7 +356,7 @@
 
   void completed(Task task) {
     Set<String> ended = completed.computeIfAbsent(task.spec.ref(), ref -> new HashSet<>());
-    if (ended.add(task.piece) && ended.size() == task.spec.pieces()) {
+    if (ended.add(task.piece) && ended.size() == task.spec.taskCount()) {
       cluster.closeLooks.lastTaskEnded(task.spec);
     }
   }
@@ -571,7 +573,7 @@
       toldCancelled.putIfAbsent(ref, cluster.clock.now());
     } else if (state.equals("done")) {
       toldFinal.putIfAbsent(ref, state);
-      if (completed.getOrDefault(ref, Set.of()).size() < spec.pieces()) {
+      if (completed.getOrDefault(ref, Set.of()).size() < spec.taskCount()) {
         broke("not_done", ref);
       }
     }
--- a/src/test/java/dunlincroft/sim/CloseLooksTest.java
+++ b/src/test/java/dunlincroft/sim/CloseLooksTest.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.util.HashSet;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -21,7 +21,7 @@
   private static final long ALL_DAY_MS = 420_000;
 
   /** A busy day on which users look closely all the time. */
-  private SimCluster watched(long seed) throws Malformed {
+  private SimCluster watched(long seed) throws MalformedException {
     jobs.clear();
     SimCluster cluster = busy(seed);
     cluster.closeLooks.look(ALL_DAY_MS);
@@ -37,7 +37,7 @@
     "5,HOLDER_STANDS_STILL",
     "6,ALL_BACK_AT_ONCE"
   })
-  void noNodeAnswersAnythingOlder(long seed, Trouble trouble) throws Malformed {
+  void noNodeAnswersAnythingOlder(long seed, Trouble trouble) throws MalformedException {
     SimCluster cluster = watched(seed);
     // On every other day whoever lags must read everything again.
     cluster.state.keep = seed % 2 == 0 ? 60 : cluster.state.keep;
@@ -58,7 +58,7 @@
   /** The answer to a cancellation of a job that is partly done, which polls have told already. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
-  void aCancellationIsNotAnsweredWithLessThanPollsSaid(long seed) throws Malformed {
+  void aCancellationIsNotAnsweredWithLessThanPollsSaid(long seed) throws MalformedException {
     SimCluster cluster = watched(seed);
     Set<String> partly = new HashSet<>();
     for (long at = 20_000; at < 60_000; at += 500) {
@@ -66,14 +66,14 @@
       for (JobSpec spec : jobs) {
         int done = cluster.checks.doneTold(spec.ref());
         boolean open = !cluster.checks.toldFinal.containsKey(spec.ref());
-        if (open && done > 0 && done < spec.pieces() && partly.add(spec.ref())) {
+        if (open && done > 0 && done < spec.taskCount() && partly.add(spec.ref())) {
           cluster.closeLooks.cancel(cluster.anyNode(), spec);
         }
       }
       // What is told of a job's tasks is asked for often: polls come each 5 s.
       jobs.stream()
           .filter(spec -> cluster.checks.accepted.contains(spec.ref()))
-          .filter(spec -> spec.pieces() > 1 && !cluster.checks.toldFinal.containsKey(spec.ref()))
+          .filter(spec -> spec.taskCount() > 1 && !cluster.checks.toldFinal.containsKey(spec.ref()))
           .forEach(spec -> cluster.closeLooks.ask(cluster.anyNode(), spec));
     }
     assertThat(partly).as("cancelled with some tasks told as done").hasSizeGreaterThan(8);
@@ -85,7 +85,7 @@
    * do ask nodes that lag.
    */
   @Test
-  void withoutBarriersOlderAnswersAreSeen() throws Malformed {
+  void withoutBarriersOlderAnswersAreSeen() throws MalformedException {
     Set<String> seen = new HashSet<>();
     for (long seed = 1; seed <= 2; seed++) {
       SimCluster cluster = watched(seed);
@@ -103,7 +103,7 @@
    * cancellation, so the days above no longer show it.
    */
   @Test
-  void aSmallerCountOfDoneTasksIsSeen() throws Malformed {
+  void aSmallerCountOfDoneTasksIsSeen() throws MalformedException {
     SimCluster cluster = busy(1);
     cluster.clock.runUntil(15_000);
     JobSpec spec = jobs.get(0);
--- a/src/test/java/dunlincroft/sim/DeafMachinesTest.java
+++ b/src/test/java/dunlincroft/sim/DeafMachinesTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.List;
 import java.util.Set;
@@ -40,7 +40,7 @@
     "144,3,0,2",
   })
   void replicasAreRunningElsewhereSoon(long seed, int controllers, int down, double reportS)
-      throws Malformed {
+      throws MalformedException {
     SimCluster cluster = AliveTest.busy(seed, new Size(controllers, 60, 80, 8, 8, 80, reportS));
     int holder = cluster.nodeIndex(cluster.holderName());
     for (int node = 0, left = down; node < controllers; node++) {
@@ -52,14 +52,14 @@
     List<SimWorker> deaf = AliveTest.fullest(cluster, 5);
     Set<String> hit = AliveTest.whole(cluster, deaf);
     // The other team's limit is full: what it has lost room of waits for other work of its own.
-    hit.removeIf(ref -> !cluster.uploaded(ref).owner().equals("blue"));
+    hit.removeIf(ref -> !cluster.uploaded(ref).team().equals("blue"));
     deaf.forEach(worker -> worker.deafen(120_000));
     while (!deaf.stream().allMatch(worker -> worker.gone || worker.unanswered.size() >= 3)) {
       cluster.clock.runUntil(cluster.clock.now() + 100);
     }
     cluster.clock.runUntil(cluster.clock.now() + WITHIN_MS);
     int up = hit.stream().mapToInt(ref -> cluster.checks.runningElsewhere(ref, deaf)).sum();
-    int all = hit.stream().mapToInt(ref -> cluster.uploaded(ref).pieces()).sum();
+    int all = hit.stream().mapToInt(ref -> cluster.uploaded(ref).taskCount()).sum();
     assertThat((double) up / all).isGreaterThanOrEqualTo(SHARE);
     // With seed 144 the other team has work at its limit for 640 s: it ends late by right.
     cluster.clock.runUntil(END_MS);
--- a/src/test/java/dunlincroft/sim/FastBootTest.java
+++ b/src/test/java/dunlincroft/sim/FastBootTest.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -102,7 +102,8 @@
     "STARTED,8,15000",
     "STARTED,9,200"
   })
-  void theLeaderEndsAsNewMachinesComeUp(Step step, long seed, long awayMs) throws Malformed {
+  void theLeaderEndsAsNewMachinesComeUp(Step step, long seed, long awayMs)
+      throws MalformedException {
     cluster = busy(seed, Policy.parse(seed % 2 == 0 ? "holder_machines = 12;" : ""));
     cluster.cloud.bootMs = seed % 2 == 0 ? 1800 : 600;
     cluster.cloud.answerMs = step != Step.RECORDED && seed % 3 == 0 ? 1000 : 0;
--- a/src/test/java/dunlincroft/sim/GapTest.java
+++ b/src/test/java/dunlincroft/sim/GapTest.java
@@ -4,7 +4,7 @@
 
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.ArrayList;
 import java.util.List;
@@ -61,13 +61,13 @@
 
   private final List<JobSpec> services = new ArrayList<>();
 
-  private SimCluster busy(long seed) throws Malformed {
+  private SimCluster busy(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
     cluster.checks.troublesOver(AT_MS + DOWN_AFTER_MS + DOWN_MS + 10_000);
     Random random = new Random(seed);
     for (int i = 0; i < 120; i++) {
       JobSpec spec = RulesTest.job(random, i);
-      if (spec.daemon()) {
+      if (spec.isService()) {
         services.add(spec);
         cluster.clock.after(5000 + 100L * i, () -> cluster.user(spec, 0));
       }
@@ -78,7 +78,7 @@
 
   private static Set<JobSpec> whole(SimCluster cluster, List<JobSpec> of) {
     return of.stream()
-        .filter(spec -> cluster.checks.running(spec.ref()) == spec.pieces())
+        .filter(spec -> cluster.checks.running(spec.ref()) == spec.taskCount())
         .collect(Collectors.toSet());
   }
 
@@ -95,7 +95,7 @@
     "3,LINKS_LOSE_PACKETS",
     "1,REPORTS_COME_LATE"
   })
-  void cancelledTasksAreGoneInTime(long seed, Beside beside) throws Malformed {
+  void cancelledTasksAreGoneInTime(long seed, Beside beside) throws MalformedException {
     SimCluster cluster = busy(seed);
     String holder = cluster.holderName();
     int answers = cluster.nodeIndex(holder);
@@ -139,7 +139,7 @@
   /** An outage in which nobody is cancelled unknown to the holder kills no work. */
   @ParameterizedTest
   @ValueSource(longs = {30_000, 60_000, 120_000})
-  void aPlainOutageKillsNoWork(long ms) throws Malformed {
+  void aPlainOutageKillsNoWork(long ms) throws MalformedException {
     SimCluster cluster = busy(4);
     // Up to the last moment users cancel, and are told.
     for (int i = 0; i < 10; i++) {
@@ -157,7 +157,7 @@
 
   /** The check can fail: tasks of jobs whose cancellation nobody ever reads stay. */
   @Test
-  void theCheckFindsTasksThatOutlastTheirTime() throws Malformed {
+  void theCheckFindsTasksThatOutlastTheirTime() throws MalformedException {
     SimCluster cluster = busy(5);
     JobSpec spec = whole(cluster, services).iterator().next();
     cluster.checks.askedCancel.add(spec.ref());
--- a/src/test/java/dunlincroft/sim/GhostBlocksTest.java
+++ b/src/test/java/dunlincroft/sim/GhostBlocksTest.java
@@ -4,7 +4,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.LostAnswers.Kind;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -54,7 +54,8 @@
 
   @ParameterizedTest
   @CsvSource({"1,25000,0", "2,40000,0", "3,40000,200", "4,60000,20000", "5,12000,0"})
-  void aLateLeaseBringsNoBlockBack(long seed, long lateMs, long leaderAwayMs) throws Malformed {
+  void aLateLeaseBringsNoBlockBack(long seed, long lateMs, long leaderAwayMs)
+      throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.net.heldMs =
         (call, body) ->
--- a/src/test/java/dunlincroft/sim/HeldReportsTest.java
+++ b/src/test/java/dunlincroft/sim/HeldReportsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dunlincroft.operators.Policy;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -17,14 +17,15 @@
     }
   }
 
-  private SimCluster held(long seed) throws Malformed {
+  private SimCluster held(long seed) throws MalformedException {
     return busy(seed, seed % 2 == 0 ? Policy.parse("holder_machines = 12;") : Policy.PRESET);
   }
 
   /** Copies of reports reach every controller within the second in which a new one begins. */
   @ParameterizedTest
   @CsvSource({"1,6000", "2,11000", "3,16000", "4,9000"})
-  void oldReportsReachEveryControllerAsANewHolderBegins(long seed, long eachMs) throws Malformed {
+  void oldReportsReachEveryControllerAsANewHolderBegins(long seed, long eachMs)
+      throws MalformedException {
     SimCluster cluster = held(seed);
     cluster.clock.runUntil(20_000);
     cluster.heldReports.copyForNext(0.4, 90_000);
@@ -45,7 +46,8 @@
   /** Reports that are held up arrive at the new holder when it has answered their worker. */
   @ParameterizedTest
   @CsvSource({"1,6000", "2,11000", "3,16000", "4,25000"})
-  void heldUpReportsArriveOnceTheNewHolderHasActed(long seed, long eachMs) throws Malformed {
+  void heldUpReportsArriveOnceTheNewHolderHasActed(long seed, long eachMs)
+      throws MalformedException {
     SimCluster cluster = held(seed);
     cluster.clock.runUntil(20_000);
     cluster.heldReports.holdForNext(0.15, 100_000);
--- a/src/test/java/dunlincroft/sim/HeldUpCommandsTest.java
+++ b/src/test/java/dunlincroft/sim/HeldUpCommandsTest.java
@@ -4,7 +4,7 @@
 
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -20,7 +20,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {2, 3, 4})
-  void cancelledAsTheirCommandsAreHeldUp(long seed) throws Malformed {
+  void cancelledAsTheirCommandsAreHeldUp(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
     cluster.checks.troublesOver(140_000);
     Random random = new Random(seed);
--- a/src/test/java/dunlincroft/sim/LateCommandsTest.java
+++ b/src/test/java/dunlincroft/sim/LateCommandsTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.LateCommands.Arrival;
 import dunlincroft.sim.OrderLog.Done;
 import dunlincroft.sim.SimCluster.Size;
@@ -113,7 +113,8 @@
    */
   @ParameterizedTest
   @CsvSource({"1,true,9000", "2,false,6000", "3,true,7000"})
-  void aStartArrivesAfterTheCancellation(long seed, boolean ends, long byMs) throws Malformed {
+  void aStartArrivesAfterTheCancellation(long seed, boolean ends, long byMs)
+      throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(AT_MS);
     cluster.net.late.byMs = byMs;
@@ -152,7 +153,8 @@
    */
   @ParameterizedTest
   @CsvSource({"1,true,4000", "2,false,4000", "3,true,11000", "4,false,13000"})
-  void aStartArrivesAfterTheReap(long seed, boolean ends, long deposedAfter) throws Malformed {
+  void aStartArrivesAfterTheReap(long seed, boolean ends, long deposedAfter)
+      throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(AT_MS);
     cluster.net.late.byMs = 15_000;
@@ -173,14 +175,14 @@
   }
 
   /** A job that only machines of the second zone may run. */
-  private static JobSpec inOneZone(JobSpec spec, String rank) throws Malformed {
+  private static JobSpec inOneZone(JobSpec spec, String rank) throws MalformedException {
     return JobSpec.parse(spec.toNode().put("hall", "b").put("rank", rank));
   }
 
   /** Reap after a second try's run, on one machine: two machines, and many stops for others. */
   @ParameterizedTest
   @CsvSource({"1,true", "2,false", "3,true"})
-  void aReapArrivesAfterTheSecondTry(long seed, boolean ends) throws Malformed {
+  void aReapArrivesAfterTheSecondTry(long seed, boolean ends) throws MalformedException {
     Size size = new Size(5, 5, 80, 8, 8, 80).limits(90, 0);
     SimCluster cluster = new SimCluster(seed, Policy.PRESET, size);
     cluster.checks.troublesOver(AT_MS + 60_000);
@@ -208,7 +210,7 @@
    */
   @ParameterizedTest
   @CsvSource({"1,true", "2,false", "3,true"})
-  void aReleaseArrivesAfterNewStarts(long seed, boolean ends) throws Malformed {
+  void aReleaseArrivesAfterNewStarts(long seed, boolean ends) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(AT_MS);
     List<SimWorker> out = Trouble.fullest(cluster);
--- a/src/test/java/dunlincroft/sim/LeaderChangesTest.java
+++ b/src/test/java/dunlincroft/sim/LeaderChangesTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -54,7 +54,7 @@
     "6, 4000, 200, 70000"
   })
   void leadersChangeTenTimesInTwoMinutes(long seed, long everyMs, long awayMs, long outageMs)
-      throws Malformed {
+      throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.checks.troublesOver(AT_MS + TWO_MINUTES_MS + 20_000);
     cluster.clock.runUntil(AT_MS);
--- a/src/test/java/dunlincroft/sim/LeftWaitingTest.java
+++ b/src/test/java/dunlincroft/sim/LeftWaitingTest.java
@@ -5,7 +5,7 @@
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import org.junit.jupiter.api.Test;
 
@@ -16,7 +16,7 @@
 
   /** A long array of one zone, or (null) of any. */
   private static JobSpec array(String ref, String team, int pieces, String zone, boolean together)
-      throws Malformed {
+      throws MalformedException {
     return JobSpec.parse(
         Cbor.map()
             .put("ref", ref)
@@ -39,7 +39,7 @@
             .put("flushS", 0));
   }
 
-  private static SimCluster cluster(long seed) throws Malformed {
+  private static SimCluster cluster(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
     cluster.checks.troublesOver(AT_MS);
     return cluster;
@@ -51,7 +51,7 @@
 
   /** A window that ends keeps its jobs from starting; the check is not told of it. */
   @Test
-  void aJobThatTheSchedulerDoesNotPlaceIsFound() throws Malformed {
+  void aJobThatTheSchedulerDoesNotPlaceIsFound() throws MalformedException {
     SimCluster cluster = cluster(1);
     cluster.put(
         "calendar",
@@ -79,7 +79,7 @@
 
   /** Nobody is there to place anything: what had begun, and what had not. */
   @Test
-  void jobsThatNobodyPlacesAreFound() throws Malformed {
+  void jobsThatNobodyPlacesAreFound() throws MalformedException {
     SimCluster cluster = cluster(2);
     JobSpec service = array("run-any", "blue", 6, null, false);
     cluster.clock.after(5000, () -> cluster.user(service, 0));
@@ -90,7 +90,7 @@
 
   /** A team at its limit waits for its own work. */
   @Test
-  void aTeamAtItsLimitIsNotLeftWaiting() throws Malformed {
+  void aTeamAtItsLimitIsNotLeftWaiting() throws MalformedException {
     SimCluster cluster = cluster(3);
     JobSpec more = array("run-more", "red", 30, null, false);
     cluster.clock.after(5000, () -> cluster.user(more, 0));
@@ -101,7 +101,7 @@
 
   /** Room is elsewhere: in other zones than the job's own, or than that of its first tasks. */
   @Test
-  void roomInAnotherZoneIsNoRoom() throws Malformed {
+  void roomInAnotherZoneIsNoRoom() throws MalformedException {
     SimCluster cluster = cluster(4);
     cluster.cloud.most = 6;
     JobSpec bound = array("run-bound", "blue", 60, "a", false);
--- a/src/test/java/dunlincroft/sim/LimitMeetingsTest.java
+++ b/src/test/java/dunlincroft/sim/LimitMeetingsTest.java
@@ -4,7 +4,7 @@
 
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import dunlincroft.sim.SimWorker.Task;
 import java.util.ArrayList;
@@ -45,7 +45,7 @@
   }
 
   /** A cluster whose teams have more work than their limits let run. */
-  private SimCluster atLimits(long seed, boolean both) throws Malformed {
+  private SimCluster atLimits(long seed, boolean both) throws MalformedException {
     SimCluster cluster =
         new SimCluster(seed, Policy.PRESET, Size.FLEET.limits(RED, both ? BLUE : 0));
     cluster.checks.troublesOver(AT_MS + 100_000);
@@ -66,7 +66,7 @@
   private static double takes(SimCluster cluster, String team) {
     return TASK
         * on(cluster.cloud.machines.values().stream())
-            .filter(task -> task.spec.owner().equals(team))
+            .filter(task -> task.spec.team().equals(team))
             .count();
   }
 
@@ -126,7 +126,7 @@
   /** One team is at its limit; some machines can't be asked. */
   @ParameterizedTest
   @CsvSource({"1,CUT,12000,300", "2,DEAF,25000,2500", "3,DEAF,30000,0", "4,CUT,35000,2000"})
-  void aTeamIsAtItsLimit(long seed, Out out, long ms, long cancelAfter) throws Malformed {
+  void aTeamIsAtItsLimit(long seed, Out out, long ms, long cancelAfter) throws MalformedException {
     SimCluster cluster = atLimits(seed, false);
     fill(cluster, Set.of("red"), 20_000 + 2500 * seed);
     meet(cluster, Set.of("red"), out, ms, cancelAfter);
@@ -135,7 +135,8 @@
   /** All teams are at their limits; machines of cancelled jobs are cut off or hang. */
   @ParameterizedTest
   @CsvSource({"1,HANGS,15000,0", "2,CUT,42000,1500", "3,HANGS,30000,4000", "4,HANGS,43000,800"})
-  void allTeamsAreAtTheirLimits(long seed, Out out, long ms, long cancelAfter) throws Malformed {
+  void allTeamsAreAtTheirLimits(long seed, Out out, long ms, long cancelAfter)
+      throws MalformedException {
     SimCluster cluster = atLimits(seed, true);
     fill(cluster, Set.of("red", "blue"), 20_000 + 2500 * seed);
     meet(cluster, Set.of("red", "blue"), out, ms, cancelAfter);
--- a/src/test/java/dunlincroft/sim/LongAbsenceTest.java
+++ b/src/test/java/dunlincroft/sim/LongAbsenceTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
@@ -34,7 +34,7 @@
     "2, false, 60000",
     "4, false, 45000"
   })
-  void aZoneIsCutOff(long seed, boolean holderInside, long ms) throws Malformed {
+  void aZoneIsCutOff(long seed, boolean holderInside, long ms) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(AT_MS);
     String zone = holderInside ? cluster.zoneOfTheHolder() : cluster.zoneWithoutTheHolder();
@@ -62,7 +62,7 @@
   /** All are away, return at once or one by one, and find that all sessions are new. */
   @ParameterizedTest
   @CsvSource({"1, 0", "2, 0", "3, 4000", "4, 9000", "5, 300"})
-  void allControllersAreAway(long seed, long oneByOneMs) throws Malformed {
+  void allControllersAreAway(long seed, long oneByOneMs) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.checks.troublesOver(AT_MS + 110_000);
     cluster.clock.runUntil(AT_MS);
--- a/src/test/java/dunlincroft/sim/LostAnswersTest.java
+++ b/src/test/java/dunlincroft/sim/LostAnswersTest.java
@@ -6,7 +6,7 @@
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.LostAnswers.Kind;
 import dunlincroft.sim.SimCluster.Size;
 import dunlincroft.transport.Env;
@@ -68,14 +68,14 @@
               ObjectNode map = Cbor.parse(reply.body());
               cluster.checks.told(spec, reply.status(), map.path("status").asText(), sentAt);
               lookedAt.add(spec.ref());
-            } catch (Malformed e) {
+            } catch (MalformedException e) {
               throw new IllegalStateException(e);
             }
           }
         });
   }
 
-  private SimCluster cluster(long seed, Kind kind) throws Malformed {
+  private SimCluster cluster(long seed, Kind kind) throws MalformedException {
     boolean pages = kind == Kind.PAGE || kind == Kind.SWEEP;
     SimCluster cluster =
         pages
@@ -103,7 +103,7 @@
     "SWEEP,11,3",
     "FENCE,13,2"
   })
-  void itsSenderFindsOutThatItWasItsOwn(Kind kind, long seed, int least) throws Malformed {
+  void itsSenderFindsOutThatItWasItsOwn(Kind kind, long seed, int least) throws MalformedException {
     SimCluster cluster = cluster(seed, kind);
     cluster.clock.runUntil(FROM_MS);
     cluster.loseAnswers(EnumSet.of(kind), 0.6, FOR_MS);
--- a/src/test/java/dunlincroft/sim/LostHandsTest.java
+++ b/src/test/java/dunlincroft/sim/LostHandsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dunlincroft.operators.Policy;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.LostAnswers.Kind;
 import java.util.EnumSet;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -31,7 +31,7 @@
     "RELEASE,15,5",
     "TYPES,16,1"
   })
-  void whoeverWonFindsOut(Kind kind, long seed, int least) throws Malformed {
+  void whoeverWonFindsOut(Kind kind, long seed, int least) throws MalformedException {
     // Blocks move seldom: with more holders they do more often.
     int holderMachines = kind == Kind.BLOCK_MOVED ? 5 : 12;
     SimCluster cluster = busy(seed, Policy.parse("holder_machines = " + holderMachines + ";"));
@@ -54,7 +54,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void whoTookAShardKnowsFromWhom(long seed) throws Malformed {
+  void whoTookAShardKnowsFromWhom(long seed) throws MalformedException {
     long usual = tasksReleased(zoneCutAtATakeover(seed, false));
     jobs.clear();
     SimCluster cluster = zoneCutAtATakeover(seed, true);
@@ -69,7 +69,7 @@
     return cluster.cloud.tasksReleased;
   }
 
-  private SimCluster zoneCutAtATakeover(long seed, boolean answerLost) throws Malformed {
+  private SimCluster zoneCutAtATakeover(long seed, boolean answerLost) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(AT_MS);
     String old = cluster.holderName();
--- a/src/test/java/dunlincroft/sim/MeetingScenario.java
+++ b/src/test/java/dunlincroft/sim/MeetingScenario.java
@@ -4,7 +4,7 @@
 
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.ArrayList;
 import java.util.List;
@@ -26,19 +26,20 @@
   final List<JobSpec> jobs = new ArrayList<>();
 
   /** A cluster in which jobs come for a while; whoever is cancelled is, around the meeting. */
-  SimCluster busy(long seed, Policy policy) throws Malformed {
+  SimCluster busy(long seed, Policy policy) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, policy, Size.FLEET);
     cluster.checks.troublesOver(AT_MS + 90_000);
     Random random = new Random(seed);
     for (int i = 0; i < 100; i++) {
       JobSpec spec = PairsTest.job(random, i);
       jobs.add(spec);
-      cluster.clock.after(5000 + 500L * i, () -> cluster.user(spec, spec.daemon() ? 150_000 : 0));
+      cluster.clock.after(
+          5000 + 500L * i, () -> cluster.user(spec, spec.isService() ? 150_000 : 0));
     }
     return cluster;
   }
 
-  SimCluster busy(long seed) throws Malformed {
+  SimCluster busy(long seed) throws MalformedException {
     return busy(seed, Policy.PRESET);
   }
 
@@ -55,7 +56,7 @@
   /** Users call off all services now: the cluster ends sooner. */
   void endServices(SimCluster cluster) {
     for (JobSpec spec : jobs) {
-      if (spec.daemon() && cluster.uploaded(spec.ref()) != null) {
+      if (spec.isService() && cluster.uploaded(spec.ref()) != null) {
         cluster.cancel(spec);
       }
     }
--- a/src/test/java/dunlincroft/sim/MeetingsTest.java
+++ b/src/test/java/dunlincroft/sim/MeetingsTest.java
@@ -4,7 +4,7 @@
 
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
@@ -30,7 +30,8 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aDeposedHolderAnswersWorkersWhileJobsAreCancelledElsewhere(long seed) throws Malformed {
+  void aDeposedHolderAnswersWorkersWhileJobsAreCancelledElsewhere(long seed)
+      throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(AT_MS);
     String old = cluster.holderName();
@@ -56,7 +57,7 @@
   /** Transactions without an answer are carried out seconds later, after newer ones. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void transactionsAreCarriedOutAfterNewerOnes(long seed) throws Malformed {
+  void transactionsAreCarriedOutAfterNewerOnes(long seed) throws MalformedException {
     SimCluster cluster = busy(seed, Policy.parse(seed % 2 == 0 ? "holder_machines = 12;" : ""));
     cluster.clock.runUntil(15_000);
     cluster.lateWrites(0.35, 70_000);
@@ -75,7 +76,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {5, 6, 7, 8})
-  void aDeposedLeadersRentalsBecomeNoBlocks(long seed) throws Malformed {
+  void aDeposedLeadersRentalsBecomeNoBlocks(long seed) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.cloud.answerMs = 1500;
     for (int i = 0; i < 12; i++) {
@@ -102,7 +103,7 @@
 
   /** The same with a state service that ignores all guards: the checks see what they prevent. */
   @Test
-  void withoutGuardsLateTransactionsBreakRules() throws Malformed {
+  void withoutGuardsLateTransactionsBreakRules() throws MalformedException {
     int broken = 0;
     for (long seed = 1; seed <= 12 && broken == 0; seed++) {
       jobs.clear();
@@ -124,7 +125,7 @@
    */
   @ParameterizedTest
   @CsvSource({"0,0", "1,120", "2,250", "3,400", "4,700", "0,1100", "1,1600", "2,2400"})
-  void allEndAndOneIsBackAndEndsAgain(int one, long after) throws Malformed {
+  void allEndAndOneIsBackAndEndsAgain(int one, long after) throws MalformedException {
     SimCluster cluster = busy(5);
     StartLog starts = new StartLog(cluster);
     cluster.clock.runUntil(AT_MS);
@@ -148,7 +149,7 @@
   /** Reports of earlier sessions and attempts come after newer ones, at new holders. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void oldReportsComeAfterNewerOnes(long seed) throws Malformed {
+  void oldReportsComeAfterNewerOnes(long seed) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.copiesWithinMs = 40_000;
     cluster.clock.runUntil(20_000);
@@ -170,7 +171,7 @@
   /** Commands and their answers are held up for seconds, and the machines then go on. */
   @ParameterizedTest
   @CsvSource({"1,4000", "2,9000", "3,15000", "4,18500"})
-  void commandsAreHeldUp(long seed, long ms) throws Malformed {
+  void commandsAreHeldUp(long seed, long ms) throws MalformedException {
     SimCluster cluster = busy(seed);
     for (int i = 0; i < 4; i++) {
       long at = 15_000 + 16_000L * i;
@@ -189,12 +190,12 @@
   /** Tasks of small jobs end far apart, with a change of the holder between them. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void smallJobsEndAcrossChangesOfTheHolder(long seed) throws Malformed {
+  void smallJobsEndAcrossChangesOfTheHolder(long seed) throws MalformedException {
     SimCluster cluster = busy(seed);
     StartLog starts = new StartLog(cluster);
     Set<String> across =
         jobs.stream()
-            .filter(spec -> spec.jobclass().equals(SimWorker.APART) && spec.pieces() > 1)
+            .filter(spec -> spec.jobclass().equals(SimWorker.APART) && spec.taskCount() > 1)
             .map(JobSpec::ref)
             .collect(Collectors.toSet());
     int[] met = new int[1];
@@ -205,7 +206,7 @@
           () -> {
             for (String ref : across) {
               int done = cluster.checks.completed.getOrDefault(ref, Set.of()).size();
-              met[0] += done > 0 && done < cluster.uploaded(ref).pieces() ? 1 : 0;
+              met[0] += done > 0 && done < cluster.uploaded(ref).taskCount() ? 1 : 0;
             }
             cluster.crashHolder(atOnce ? 200 : 20_000);
           });
@@ -219,7 +220,7 @@
         .allSatisfy(
             ref ->
                 assertThat(cluster.checks.completed.getOrDefault(ref, Set.of()))
-                    .hasSize(cluster.uploaded(ref).pieces()));
+                    .hasSize(cluster.uploaded(ref).taskCount()));
   }
 
   /**
@@ -229,7 +230,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void slowThenRefusedAloneThenDownForAll(long seed) throws Malformed {
+  void slowThenRefusedAloneThenDownForAll(long seed) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.checks.troublesOver(AT_MS + 140_000);
     cluster.clock.runUntil(AT_MS);
@@ -265,7 +266,8 @@
   /** The leader ends while machines with long tasks can't be reached, or don't hear the new one. */
   @ParameterizedTest
   @CsvSource({"1,MACHINES_CUT_OFF", "2,MACHINES_DEAF", "3,MACHINES_CUT_OFF", "4,MACHINES_DEAF"})
-  void theLeaderEndsWhileMachinesCannotBeReached(long seed, Trouble trouble) throws Malformed {
+  void theLeaderEndsWhileMachinesCannotBeReached(long seed, Trouble trouble)
+      throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(AT_MS);
     String old = cluster.holderName();
--- a/src/test/java/dunlincroft/sim/MigrationTest.java
+++ b/src/test/java/dunlincroft/sim/MigrationTest.java
@@ -7,7 +7,7 @@
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.List;
 import java.util.Map;
@@ -85,13 +85,13 @@
               .put("expectS", 0.0)
               .put("snapshotS", 0.0)
               .put("flushS", 0.0));
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       throw new IllegalStateException(e);
     }
   }
 
   /** Services run, wherever there is room, and a migration begins. */
-  private static SimCluster begun(long seed, String whenIll) throws Malformed {
+  private static SimCluster begun(long seed, String whenIll) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
     cluster.put("migration", DOCUMENT.formatted(whenIll));
     for (int i = 0; i < JOBS; i++) {
@@ -140,7 +140,7 @@
 
   @ParameterizedTest
   @EnumSource(Fault.class)
-  void everyReplicaMovesAndNoneBeginsOnTheWrongSide(Fault fault) throws Malformed {
+  void everyReplicaMovesAndNoneBeginsOnTheWrongSide(Fault fault) throws MalformedException {
     SimCluster cluster = begun(51, "pause");
     for (int i = 0; i < 10; i++) {
       cluster.clock.after(1500 + 9000L * i, () -> fault.act.accept(cluster));
@@ -176,7 +176,7 @@
   @EnumSource(
       value = Fault.class,
       names = {"NONE", "HOLDER_ENDS", "ALL_END", "ALONE_WITH_ITS_WORKERS"})
-  void fromEveryStepItGoesBack(Fault fault) throws Malformed {
+  void fromEveryStepItGoesBack(Fault fault) throws MalformedException {
     for (String step : new String[] {"canary", "both", "cutover"}) {
       SimCluster cluster = begun(52, "pause");
       while (!phase(cluster).equals(step) && cluster.clock.now() < 600_000) {
@@ -201,7 +201,7 @@
   @EnumSource(
       value = Fault.class,
       names = {"NONE", "HOLDER_ENDS"})
-  void aSideThatIsIllEndsTheMigration(Fault fault) throws Malformed {
+  void aSideThatIsIllEndsTheMigration(Fault fault) throws MalformedException {
     SimCluster cluster = new SimCluster(53, Policy.PRESET, Size.FLEET);
     cluster.cloud.refused.addAll(List.of("b", "c"));
     cluster.cloud.machines.values().stream()
@@ -225,7 +225,7 @@
 
   /** Two operators at once: one request at a time, and each step is in the history. */
   @Test
-  void pausedItRestsAndResumedItGoesOn() throws Malformed {
+  void pausedItRestsAndResumedItGoesOn() throws MalformedException {
     SimCluster cluster = begun(54, "pause");
     cluster.clock.runUntil(START_MS + 4000);
     ask(cluster, MigrationLedger.Ask.PAUSE);
--- a/src/test/java/dunlincroft/sim/MuteMachinesTest.java
+++ b/src/test/java/dunlincroft/sim/MuteMachinesTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimWorker.Task;
 import java.util.List;
 import java.util.Set;
@@ -27,7 +27,7 @@
   /** Mute for shorter and longer than the lease, beside a change of leader and cancellations. */
   @ParameterizedTest
   @CsvSource({"1,9000,0", "2,14000,3000", "3,30000,1000", "4,45000,8000", "5,60000,23000"})
-  void machinesAreMute(long seed, long ms, long crashAfter) throws Malformed {
+  void machinesAreMute(long seed, long ms, long crashAfter) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(AT_MS);
     List<SimWorker> mute = Trouble.fullest(cluster);
--- a/src/test/java/dunlincroft/sim/OddRequests.java
+++ b/src/test/java/dunlincroft/sim/OddRequests.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.transport.Env;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -132,7 +132,7 @@
   private ObjectNode usual() {
     try {
       return PairsTest.job(random, 0).toNode().put("ref", "run-odd-" + sent++);
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -163,7 +163,7 @@
                 reply.body().length > 0
                     && !Cbor.parse(reply.body()).path("error").asText().isEmpty();
             cluster.checks.refused(job.path("ref").asText(), why, refusal, reply.status(), clear);
-          } catch (Malformed e) {
+          } catch (MalformedException e) {
             throw new IllegalStateException(e);
           }
         });
--- a/src/test/java/dunlincroft/sim/OldEndsTest.java
+++ b/src/test/java/dunlincroft/sim/OldEndsTest.java
@@ -6,7 +6,7 @@
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.ArrayList;
 import java.util.List;
@@ -36,7 +36,7 @@
 
   /** Questions, submissions and cancellations at every node give the final state. */
   @Test
-  void oldEndsAreToldByEveryNode() throws Malformed {
+  void oldEndsAreToldByEveryNode() throws MalformedException {
     SimCluster cluster = new SimCluster(1, Policy.PRESET, Size.SMALL);
     List<JobSpec> old = new ArrayList<>();
     for (int i = 0; i < Constants.ENDED_IN_MEMORY + FORGOTTEN; i++) {
--- a/src/test/java/dunlincroft/sim/OwnDaysTest.java
+++ b/src/test/java/dunlincroft/sim/OwnDaysTest.java
@@ -5,7 +5,7 @@
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.List;
 import java.util.function.Consumer;
@@ -146,7 +146,7 @@
                   .put("snapshotS", 0.0)
                   .put("flushS", 0.0)
                   .put("dueS", 60.0));
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       throw new IllegalStateException(e);
     }
     cluster.clock.after(atMs, () -> cluster.user(spec, daemon ? 60_000 : 0));
@@ -162,7 +162,7 @@
 
   @ParameterizedTest
   @EnumSource(Day.class)
-  void noClassAndNoTeamIsStarved(Day day) throws Malformed {
+  void noClassAndNoTeamIsStarved(Day day) throws MalformedException {
     cluster = new SimCluster(31, Policy.PRESET, Size.FLEET);
     for (int i = 0; i < 40; i++) {
       submit(3000 + 2000L * i, i % 3 == 0 ? "serve" : "copy", i % 2 == 0 ? "red" : "blue", 3);
--- a/src/test/java/dunlincroft/sim/PairsTest.java
+++ b/src/test/java/dunlincroft/sim/PairsTest.java
@@ -5,7 +5,7 @@
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.ArrayList;
 import java.util.List;
@@ -83,7 +83,7 @@
   }
 
   /** Jobs of one to three tasks that end far apart, long ones, services, arrays. */
-  static JobSpec job(Random random, int number) throws Malformed {
+  static JobSpec job(Random random, int number) throws MalformedException {
     int kind = random.nextInt(4);
     boolean daemon = kind == 0;
     int few = 1 + random.nextInt(3);
@@ -109,14 +109,14 @@
             .put("dueS", 120.0));
   }
 
-  private static SimCluster play(long seed, List<Planned> plan) throws Malformed {
+  private static SimCluster play(long seed, List<Planned> plan) throws MalformedException {
     Policy policy = seed % 4 == 0 ? Policy.parse("holder_machines = 12;") : Policy.PRESET;
     SimCluster cluster = new SimCluster(seed, policy, seed % 3 == 0 ? Size.SMALL : Size.FLEET);
     Random random = new Random(seed);
     cluster.checks.troublesOver(OVER_MS);
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = job(random, i);
-      boolean cancelled = spec.daemon() || random.nextInt(3) == 0;
+      boolean cancelled = spec.isService() || random.nextInt(3) == 0;
       long after = cancelled ? 2000 + random.nextInt(120_000) : 0;
       cluster.clock.after(5000 + random.nextInt(190_000), () -> cluster.user(spec, after));
     }
@@ -136,7 +136,7 @@
   }
 
   /** Leaves out what is not needed for the day to break. */
-  private static List<Planned> shrink(long seed, List<Planned> plan) throws Malformed {
+  private static List<Planned> shrink(long seed, List<Planned> plan) throws MalformedException {
     List<Planned> least = new ArrayList<>(plan);
     for (Planned each : plan) {
       List<Planned> without = new ArrayList<>(least);
@@ -150,7 +150,7 @@
 
   @ParameterizedTest
   @MethodSource("days")
-  void rulesHoldWhenTroublesMeet(long seed) throws Malformed {
+  void rulesHoldWhenTroublesMeet(long seed) throws MalformedException {
     List<Planned> plan = plan(seed);
     SimCluster cluster = play(seed, plan);
     count(cluster.checks.cancelledStarts);
--- a/src/test/java/dunlincroft/sim/RefusalTest.java
+++ b/src/test/java/dunlincroft/sim/RefusalTest.java
@@ -4,7 +4,7 @@
 
 import dunlincroft.Constants;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.OddRequests.Impossible;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -22,7 +22,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
-  void oddRequestsBesideABusyDay(long seed) throws Malformed {
+  void oddRequestsBesideABusyDay(long seed) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(10_000);
     cluster.oddRequests.during(100_000);
@@ -40,7 +40,7 @@
   /** No controller knows the types: what only they can tell is answered 503. */
   @ParameterizedTest
   @EnumSource(Impossible.class)
-  void whatCannotBeToldYetIsAnswered503(Impossible why) throws Malformed {
+  void whatCannotBeToldYetIsAnswered503(Impossible why) throws MalformedException {
     SimCluster cluster = busy(3);
     cluster.cutCloud(20_000);
     for (long at = 4000; at < 18_000; at += 2000) {
@@ -65,7 +65,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
-  void acceptedJobsAreKnownWhereTheTypesLag(long seed) throws Malformed {
+  void acceptedJobsAreKnownWhereTheTypesLag(long seed) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(AT_MS);
     cluster.cloud.listedCpus = 2 * SimCluster.CPUS;
@@ -105,7 +105,7 @@
    * none, answer a repeated submission with the job's state or 503, and polls with the state.
    */
   @Test
-  void acceptedJobsAreKnownWhereNoTypesAre() throws Malformed {
+  void acceptedJobsAreKnownWhereNoTypesAre() throws MalformedException {
     int alone = 0;
     for (int knows = 0; knows < 5; knows++) {
       SimCluster cluster = busy(knows + 1);
@@ -131,7 +131,7 @@
 
   /** A list that promises too much lets jobs in that fit no machine: the checks see it. */
   @Test
-  void jobsThatFitNoMachineAreSeenWhenAccepted() throws Malformed {
+  void jobsThatFitNoMachineAreSeenWhenAccepted() throws MalformedException {
     SimCluster cluster = busy(1);
     cluster.cloud.listedCpus = 2 * SimCluster.CPUS;
     cluster.clock.runUntil(10_000);
@@ -142,7 +142,7 @@
 
   /** What the checks ask of an answer to what must be refused. */
   @Test
-  void unclearRefusalsAreSeen() throws Malformed {
+  void unclearRefusalsAreSeen() throws MalformedException {
     SimCluster cluster = busy(1);
     cluster.checks.refused("run-a", "no owner", 400, 400, true);
     cluster.checks.refused("run-b", "no owner", 400, 503, true);
--- a/src/test/java/dunlincroft/sim/RoomTest.java
+++ b/src/test/java/dunlincroft/sim/RoomTest.java
@@ -5,7 +5,7 @@
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -38,7 +38,7 @@
               .put("expectS", service ? 0.0 : 15.0)
               .put("snapshotS", 0.0)
               .put("flushS", 0.0));
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -50,7 +50,7 @@
   /** Replicas that do not run on other machines than these. */
   private static int missing(SimCluster cluster, List<JobSpec> services, List<SimWorker> than) {
     return services.stream()
-        .mapToInt(spec -> spec.pieces() - cluster.checks.runningElsewhere(spec.ref(), than))
+        .mapToInt(spec -> spec.taskCount() - cluster.checks.runningElsewhere(spec.ref(), than))
         .sum();
   }
 
@@ -61,7 +61,7 @@
    * the zone where they have one already.
    */
   @Test
-  void servicesOfALostZoneAllMakeRoomAtOnce() throws Malformed {
+  void servicesOfALostZoneAllMakeRoomAtOnce() throws MalformedException {
     SimCluster cluster = new SimCluster(31, Policy.PRESET, Size.FLEET);
     for (int i = 0; i < 45; i++) {
       cluster.cloud.rent(SimCluster.ZONES.get(i % 3), false).start();
@@ -77,7 +77,7 @@
     cluster.clock.runUntil(CUT_MS);
     assertThat(cluster.cloud.machines).hasSizeGreaterThan(Size.FLEET.machines() - 5);
     // A few are stopped by the limits of the moment; those that are whole are looked at.
-    services.removeIf(spec -> cluster.checks.running(spec.ref()) < spec.pieces());
+    services.removeIf(spec -> cluster.checks.running(spec.ref()) < spec.taskCount());
     assertThat(services).hasSizeGreaterThan(20);
     // The smaller one of those without the holder.
     String zone =
--- a/src/test/java/dunlincroft/sim/RulesTest.java
+++ b/src/test/java/dunlincroft/sim/RulesTest.java
@@ -5,7 +5,7 @@
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.List;
 import java.util.Random;
@@ -24,7 +24,7 @@
   /** No generated fault lasts for longer; copies of reports come late for longer still. */
   private static final long LONGEST_FAULT_MS = 70_000;
 
-  static JobSpec job(Random random, int number) throws Malformed {
+  static JobSpec job(Random random, int number) throws MalformedException {
     boolean daemon = random.nextInt(3) == 0;
     int pieces = daemon ? 1 + random.nextInt(3) : 1 + random.nextInt(25);
     return JobSpec.parse(
@@ -51,12 +51,13 @@
   }
 
   private static SimCluster play(long seed, boolean faults, boolean guards, Policy policy)
-      throws Malformed {
+      throws MalformedException {
     return play(seed, faults, guards, policy, Size.SMALL);
   }
 
   private static SimCluster play(
-      long seed, boolean faults, boolean guards, Policy policy, Size size) throws Malformed {
+      long seed, boolean faults, boolean guards, Policy policy, Size size)
+      throws MalformedException {
     SimCluster cluster = new SimCluster(seed, policy, size);
     Random random = new Random(seed * 31);
     cluster.net.loss = faults ? 0.01 : 0;
@@ -64,12 +65,12 @@
     cluster.state.keep = faults && seed % 2 == 0 ? 60 : 10_000;
     for (int i = 0; i < size.jobs(); i++) {
       JobSpec spec = job(random, i);
-      boolean broken = faults && !spec.daemon() && random.nextInt(10) == 0;
+      boolean broken = faults && !spec.isService() && random.nextInt(10) == 0;
       if (broken) {
         cluster.broken.add(spec.ref());
       }
       long cancelAfter =
-          broken || random.nextInt(6) == 0 || spec.daemon() ? 1000 + random.nextInt(200_000) : 0;
+          broken || random.nextInt(6) == 0 || spec.isService() ? 1000 + random.nextInt(200_000) : 0;
       cluster.clock.after(5000 + random.nextInt(200_000), () -> cluster.user(spec, cancelAfter));
     }
     cluster.flood = () -> flood(cluster, random);
@@ -119,7 +120,7 @@
               .put("expectS", expectS)
               .put("snapshotS", snapshotS)
               .put("flushS", snapshotS > 0 ? 1.0 : 0.0));
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -136,7 +137,7 @@
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void rulesHoldThroughOverlappingFaults(long seed) throws Malformed {
+  void rulesHoldThroughOverlappingFaults(long seed) throws MalformedException {
     SimCluster cluster = play(seed, true, true, Policy.PRESET);
     everyRuleHolds(cluster);
   }
@@ -153,7 +154,7 @@
   /** Three lease holders at a handful of machines: blocks, shares and shards change hands. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void rulesHoldWithSeveralLeaseHolders(long seed) throws Malformed {
+  void rulesHoldWithSeveralLeaseHolders(long seed) throws MalformedException {
     SimCluster cluster = play(seed, true, true, Policy.parse("holder_machines = 1;"));
     everyRuleHolds(cluster);
     assertThat(cluster.state.under("d/leases/").get("one").path("holders")).hasSize(3);
@@ -175,7 +176,7 @@
    */
   @ParameterizedTest
   @MethodSource("fewSeeds")
-  void rulesHoldWithFiveControllersAndSmallValues(long seed) throws Malformed {
+  void rulesHoldWithFiveControllersAndSmallValues(long seed) throws MalformedException {
     Policy policy = seed % 2 == 0 ? Policy.PRESET : Policy.parse("holder_machines = 8;");
     SimCluster cluster = play(seed, true, true, policy, Size.TIGHT);
     everyRuleHolds(cluster);
@@ -183,7 +184,7 @@
   }
 
   @Test
-  void quietDayEndsEveryJob() throws Malformed {
+  void quietDayEndsEveryJob() throws MalformedException {
     SimCluster cluster = play(100, false, true, Policy.PRESET);
     assertThat(cluster.checks.broken).isEmpty();
     assertThat(cluster.checks.toldFinal).hasSize(Size.SMALL.jobs());
@@ -194,13 +195,13 @@
    * hired machines are, took them for dead, and released them with all that was on them.
    */
   @Test
-  void aHolderCutOffLosesNoMachine() throws Malformed {
+  void aHolderCutOffLosesNoMachine() throws MalformedException {
     SimCluster cluster = busy();
     cluster.clock.after(30_000, () -> cluster.cutHolder(25_000));
     losesNoMachine(cluster, 75_000);
   }
 
-  private static SimCluster busy() throws Malformed {
+  private static SimCluster busy() throws MalformedException {
     SimCluster cluster = new SimCluster(7, Policy.PRESET, Size.SMALL);
     Random random = new Random(7);
     for (int i = 0; i < 200; i++) {
@@ -223,7 +224,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1000, 5000, 8000, 15_000, 40_000})
-  void aHolderThatStoodStillLosesNoMachine(long ms) throws Malformed {
+  void aHolderThatStoodStillLosesNoMachine(long ms) throws MalformedException {
     SimCluster cluster = busy();
     cluster.clock.after(30_000, () -> cluster.freezeHolder(ms));
     losesNoMachine(cluster, 90_000);
@@ -234,7 +235,7 @@
    * speak against it, its own silence does not.
    */
   @Test
-  void aMachineIsNotBlamedForOurPause() throws Malformed {
+  void aMachineIsNotBlamedForOurPause() throws MalformedException {
     SimCluster cluster = busy();
     SimWorker[] silent = new SimWorker[1];
     cluster.clock.after(
@@ -251,7 +252,7 @@
 
   /** A holder gone without a word: others start work soon. */
   @Test
-  void aSilentHolderIsSucceededSoon() throws Malformed {
+  void aSilentHolderIsSucceededSoon() throws MalformedException {
     SimCluster cluster = busy();
     cluster.clock.runUntil(30_000);
     cluster.silenceHolder(70_000);
@@ -267,7 +268,7 @@
    * few machines as it takes: freed in pieces on all of them it would be filled and freed again.
    */
   @Test
-  void roomForAGuaranteeIsMadeInOnePlace() throws Malformed {
+  void roomForAGuaranteeIsMadeInOnePlace() throws MalformedException {
     SimCluster cluster = new SimCluster(5, Policy.PRESET, Size.SMALL);
     cluster.cloud.most = 5;
     JobSpec guests = simple("run-guests", "blue", 200, 1, 300, 20);
@@ -285,7 +286,7 @@
 
   /** Arrays that fail everywhere: known for it soon, whoever holds them, and no machine's fault. */
   @Test
-  void jobsThatFailEverywhereAreToldFromSickMachines() throws Malformed {
+  void jobsThatFailEverywhereAreToldFromSickMachines() throws MalformedException {
     SimCluster cluster = new SimCluster(3, Policy.PRESET, Size.SMALL);
     for (int i = 0; i < 12; i++) {
       JobSpec spec = simple("run-" + i, i < 4 ? "red" : "blue", 30, 1);
@@ -304,7 +305,7 @@
 
   /** The checks can fail: some of these days break rules once the service ignores all guards. */
   @Test
-  void checksFindWhatBrokenGuardsLetThrough() throws Malformed {
+  void checksFindWhatBrokenGuardsLetThrough() throws MalformedException {
     List<String> broken = List.of();
     for (long seed = 1; broken.isEmpty() && seed <= 60; seed++) {
       broken = play(seed, true, false, Policy.PRESET).checks.broken;
--- a/src/test/java/dunlincroft/sim/ScarceRequestsTest.java
+++ b/src/test/java/dunlincroft/sim/ScarceRequestsTest.java
@@ -4,7 +4,7 @@
 
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -20,14 +20,14 @@
   private static final int JOBS = 80;
   private static final long EACH_MS = 500;
 
-  private SimCluster jobsCome(long seed) throws Malformed {
+  private SimCluster jobsCome(long seed) throws MalformedException {
     Size size = new Size(5, 60, JOBS, 8, 8, WRITE_RPS, 2, RPS);
     SimCluster cluster = new SimCluster(seed, Policy.PRESET, size);
     Random random = new Random(seed);
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = PairsTest.job(random, i);
       jobs.add(spec);
-      long cancelAfterMs = spec.daemon() ? 150_000 : 0;
+      long cancelAfterMs = spec.isService() ? 150_000 : 0;
       cluster.clock.after(5000 + EACH_MS * i, () -> cluster.user(spec, cancelAfterMs));
     }
     return cluster;
@@ -43,7 +43,7 @@
   /** Nearly all requests are used, and jobs are accepted as they come all the same. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void jobsAreAcceptedThoughReadingsCouldTakeAllRequests(long seed) throws Malformed {
+  void jobsAreAcceptedThoughReadingsCouldTakeAllRequests(long seed) throws MalformedException {
     SimCluster cluster = jobsCome(seed);
     cluster.clock.runUntil(20_000);
     int before = cluster.state.requests;
@@ -56,7 +56,7 @@
   /** The holder crashes in it, and comes back. */
   @ParameterizedTest
   @ValueSource(longs = {4, 5})
-  void aHolderEndsWhileRequestsAreScarce(long seed) throws Malformed {
+  void aHolderEndsWhileRequestsAreScarce(long seed) throws MalformedException {
     SimCluster cluster = jobsCome(seed);
     cluster.checks.troublesOver(100_000);
     cluster.clock.runUntil(30_000);
--- a/src/test/java/dunlincroft/sim/ScarcityTest.java
+++ b/src/test/java/dunlincroft/sim/ScarcityTest.java
@@ -5,7 +5,7 @@
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -28,7 +28,7 @@
   }
 
   private static JobSpec job(String ref, String rank, int pieces, double expectS, Place place)
-      throws Malformed {
+      throws MalformedException {
     boolean service = rank.equals("prod");
     return JobSpec.parse(
         Cbor.map()
@@ -67,7 +67,7 @@
    */
   @ParameterizedTest
   @CsvSource({"1,0", "2,4000", "4,15000"})
-  void moreWorkThanRoomOverSlowLinks(long seed, long offMs) throws Malformed {
+  void moreWorkThanRoomOverSlowLinks(long seed, long offMs) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
     cluster.cloud.most = 12;
     cluster.checks.troublesOver(180_000);
@@ -152,7 +152,7 @@
     "6,ZONE_CUT,0",
     "8,ZONE_CUT,7000"
   })
-  void jobsOfOneZoneLoseTheirMachines(long seed, Loss loss, long offMs) throws Malformed {
+  void jobsOfOneZoneLoseTheirMachines(long seed, Loss loss, long offMs) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
     cluster.checks.troublesOver(AT_MS + 90_000);
     Random random = new Random(seed);
@@ -166,7 +166,7 @@
     }
     bound.forEach(spec -> send(cluster, 5000 + random.nextInt(25_000), spec, 0));
     others.forEach(
-        spec -> send(cluster, 5000 + random.nextInt(25_000), spec, spec.daemon() ? 200_000 : 0));
+        spec -> send(cluster, 5000 + random.nextInt(25_000), spec, spec.isService() ? 200_000 : 0));
     cluster.clock.runUntil(AT_MS - 10_000 + offMs);
     cluster.cloud.refused.add(ZONE);
     lose(cluster, loss, bound, others);
--- a/src/test/java/dunlincroft/sim/SeveralHoldersTest.java
+++ b/src/test/java/dunlincroft/sim/SeveralHoldersTest.java
@@ -5,7 +5,7 @@
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.Random;
 import java.util.stream.IntStream;
@@ -71,7 +71,7 @@
   }
 
   /** Services and arrays of small and large tasks, some of one zone. */
-  static JobSpec job(Random random, int number) throws Malformed {
+  static JobSpec job(Random random, int number) throws MalformedException {
     boolean service = random.nextInt(4) == 0;
     boolean large = random.nextInt(4) == 0;
     int tasks = service ? 1 + random.nextInt(3) : 1 + random.nextInt(large ? 4 : 30);
@@ -98,7 +98,7 @@
             .put("dueS", 120.0));
   }
 
-  private static SimCluster play(int day) throws Malformed {
+  private static SimCluster play(int day) throws MalformedException {
     int holders = 2 + day % 4;
     Event event = Event.values()[day % Event.values().length];
     long seed = 300 + day;
@@ -110,7 +110,7 @@
     cluster.checks.troublesOver(TROUBLES_OVER_MS);
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = job(random, i);
-      long cancelAfter = spec.daemon() ? 60_000 + random.nextInt(250_000) : 0;
+      long cancelAfter = spec.isService() ? 60_000 + random.nextInt(250_000) : 0;
       cluster.clock.after(5000 + random.nextInt(100_000), () -> cluster.user(spec, cancelAfter));
     }
     cluster.clock.after(FAULT_MS + random.nextInt(40_000), () -> event.act(cluster));
@@ -120,7 +120,7 @@
 
   @ParameterizedTest
   @MethodSource("days")
-  void noJobIsLeftWaitingBesideRoom(int day) throws Malformed {
+  void noJobIsLeftWaitingBesideRoom(int day) throws MalformedException {
     SimCluster cluster = play(day);
     assertThat(cluster.checks.broken).isEmpty();
     assertThat(cluster.checks.accepted).hasSize(cluster.jobs());
--- a/src/test/java/dunlincroft/sim/SimCloud.java
+++ b/src/test/java/dunlincroft/sim/SimCloud.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dunlincroft.protocol.Cbor;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -52,7 +52,7 @@
     String host = String.format("host-%06d", next++);
     boolean never = bootMs > 10_000 && cluster.random.nextInt(10) == 0;
     SimWorker worker =
-        new SimWorker(cluster, host, hall, cheap, Room.floor(SimCluster.CPUS, 0, 64));
+        new SimWorker(cluster, host, hall, cheap, Resources.roundedDown(SimCluster.CPUS, 0, 64));
     if (!never) {
       cluster.clock.after(bootMs, worker::start);
     }
--- a/src/test/java/dunlincroft/sim/SimCluster.java
+++ b/src/test/java/dunlincroft/sim/SimCluster.java
@@ -11,10 +11,10 @@
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
-import dunlincroft.protocol.Room;
-import dunlincroft.transport.Beat;
+import dunlincroft.protocol.MalformedException;
+import dunlincroft.protocol.Resources;
 import dunlincroft.transport.Env;
+import dunlincroft.transport.PeerHeartbeat;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -148,7 +148,7 @@
     return 100 * Math.min(a, b) + Math.max(a, b);
   }
 
-  SimCluster(long seed, Policy policy, Size size) throws Malformed {
+  SimCluster(long seed, Policy policy, Size size) throws MalformedException {
     this.policy = policy;
     this.size = size;
     random = new Random(seed);
@@ -251,7 +251,7 @@
 
   /** Thousandths of processors of all machines that can be had: no task beyond is seen. */
   long cpusOfAll() {
-    return Room.floor((double) CPUS * size.machines, 0, 0).cpu();
+    return Resources.roundedDown((double) CPUS * size.machines, 0, 0).cpu();
   }
 
   int nodeCount() {
@@ -330,7 +330,7 @@
                                 map.put(SimWorker.FROM, nodeAddress(index));
                                 map.put(SimWorker.LEFT_AT, clock.now());
                                 out.send(status, map.put(RETRY_AFTER, retry));
-                              } catch (Malformed e) {
+                              } catch (MalformedException e) {
                                 throw new IllegalStateException(e);
                               }
                             }
@@ -362,7 +362,7 @@
       if (refused || other.controller == null) {
         return;
       }
-      Beat beat = controller.peerHeartbeat();
+      PeerHeartbeat beat = controller.peerHeartbeat();
       int life = other.life;
       net.stream(
           nodeAddress(index),
@@ -460,7 +460,7 @@
     }
 
     @Override
-    public void leave(String address) {
+    public void closeIdleConnections(String address) {
       assertThat(address).isNotEqualTo(STATE);
     }
 
@@ -494,7 +494,7 @@
   void put(String name, String text) {
     try {
       documents().put(name, text, "test", 0);
-    } catch (DocumentStore.Unreachable | DocumentStore.Conflict | Malformed e) {
+    } catch (DocumentStore.Unreachable | DocumentStore.Conflict | MalformedException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -503,7 +503,7 @@
   void create(String key, JsonNode data) {
     try {
       documents().create(key, key, data);
-    } catch (DocumentStore.Unreachable | DocumentStore.Conflict | Malformed e) {
+    } catch (DocumentStore.Unreachable | DocumentStore.Conflict | MalformedException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -560,7 +560,7 @@
       JsonNode answer = reply.body().length == 0 ? Cbor.map() : Cbor.parse(reply.body());
       checks.told(spec, reply.status(), answer, sentAt);
       return answer;
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -675,7 +675,7 @@
   /** Jobs that run and have long to go: services, and those whose tasks are long. */
   List<JobSpec> runLong() {
     return uploads.values().stream()
-        .filter(spec -> spec.daemon() || spec.expectS() > 20)
+        .filter(spec -> spec.isService() || spec.estimatedRunS() > 20)
         .filter(spec -> !checks.askedCancel.contains(spec.ref()))
         .filter(spec -> checks.running(spec.ref()) > 0)
         .sorted(Comparator.comparing(JobSpec::ref))
--- a/src/test/java/dunlincroft/sim/SimNet.java
+++ b/src/test/java/dunlincroft/sim/SimNet.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dunlincroft.protocol.Cbor;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.transport.Env.Call;
 import dunlincroft.transport.Env.Reply;
 import java.util.ArrayList;
@@ -163,7 +163,7 @@
     ObjectNode parsed;
     try {
       parsed = body == null ? null : Cbor.parse(body);
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       throw new IllegalStateException(e);
     }
     onSent.accept(call.path(), parsed);
--- a/src/test/java/dunlincroft/sim/SimWorker.java
+++ b/src/test/java/dunlincroft/sim/SimWorker.java
@@ -5,8 +5,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.MalformedException;
+import dunlincroft.protocol.Resources;
 import dunlincroft.transport.Env;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -49,7 +49,7 @@
   final String address;
   final String hall;
   final boolean cheap;
-  final Room room;
+  final Resources room;
   final Map<String, Task> tasks = new LinkedHashMap<>();
   boolean gone;
   private boolean up;
@@ -92,7 +92,7 @@
 
   private final List<Runnable> whenAwake = new ArrayList<>();
 
-  SimWorker(SimCluster cluster, String host, String hall, boolean cheap, Room room) {
+  SimWorker(SimCluster cluster, String host, String hall, boolean cheap, Resources room) {
     this.cluster = cluster;
     this.host = host;
     this.address = host;
@@ -312,7 +312,7 @@
       } else {
         node = (node + 1) % cluster.nodeCount();
       }
-    } catch (Malformed e) {
+    } catch (MalformedException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -347,19 +347,19 @@
   }
 
   /** What its tasks leave free. */
-  Room free() {
+  Resources free() {
     return room.minus(used());
   }
 
   boolean hasService() {
-    return tasks.values().stream().anyMatch(task -> task.on() && task.spec.daemon());
+    return tasks.values().stream().anyMatch(task -> task.on() && task.spec.isService());
   }
 
-  private Room used() {
-    Room sum = Room.NONE;
+  private Resources used() {
+    Resources sum = Resources.NONE;
     for (Task task : tasks.values()) {
       if (task.on()) {
-        sum = sum.plus(task.spec.room());
+        sum = sum.plus(task.spec.resources());
       }
     }
     return sum;
@@ -410,7 +410,7 @@
     JobSpec spec = cluster.uploaded(piece.substring(0, piece.indexOf('/')));
     Task task = new Task(spec, piece, attempt, leftAt);
     boolean busy = tasks.values().stream().anyMatch(t -> t.on() && t.piece.equals(piece));
-    boolean fits = spec != null && used().plus(spec.room()).fits(room);
+    boolean fits = spec != null && used().plus(spec.resources()).fitsInto(room);
     tasks.put(key(piece, attempt), task);
     if (spec == null) {
       exit(task, "unknown");
@@ -441,7 +441,7 @@
       }
       task.status = "running";
       cluster.checks.started(this, task);
-      if (!task.spec.daemon()) {
+      if (!task.spec.isService()) {
         cluster.clock.after(runMs(task), () -> end(task));
       }
     }
@@ -451,7 +451,7 @@
   static final String APART = "apart";
 
   private static long runMs(Task task) {
-    long ms = (long) (task.spec.expectS() * 1000);
+    long ms = (long) (task.spec.estimatedRunS() * 1000);
     int number = Integer.parseInt(task.piece.substring(task.piece.indexOf('/') + 1));
     return task.spec.jobclass().equals(APART) ? ms * (1 + 4 * number) : ms;
   }
--- a/src/test/java/dunlincroft/sim/SmallJobsTest.java
+++ b/src/test/java/dunlincroft/sim/SmallJobsTest.java
@@ -5,7 +5,7 @@
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.protocol.Wire;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.EnumMap;
@@ -47,7 +47,7 @@
 
   private final Map<Moment, Integer> met = new EnumMap<>(Moment.class);
 
-  private static JobSpec job(int number, double expectS) throws Malformed {
+  private static JobSpec job(int number, double expectS) throws MalformedException {
     return JobSpec.parse(
         Cbor.map()
             .put("ref", "run-" + number)
@@ -70,7 +70,7 @@
   }
 
   private void cancel(SimCluster cluster, Random random, JobSpec spec, Moment moment) {
-    long endMs = (long) (spec.expectS() * 1000);
+    long endMs = (long) (spec.estimatedRunS() * 1000);
     switch (moment) {
       case AT_ONCE -> afterAccepted(cluster, spec, 0);
       case WAITING -> afterAccepted(cluster, spec, random.nextInt(900));
@@ -127,7 +127,7 @@
     }
   }
 
-  private SimCluster cluster(long seed) throws Malformed {
+  private SimCluster cluster(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
     cluster.checks.troublesOver(FROM_MS + JOBS * EACH_MS + 30_000);
     Random random = new Random(seed);
@@ -153,7 +153,7 @@
 
   @ParameterizedTest
   @EnumSource(Beside.class)
-  void everyJobEndsAsItsUserWants(Beside beside) throws Malformed {
+  void everyJobEndsAsItsUserWants(Beside beside) throws MalformedException {
     SimCluster cluster = cluster(1 + beside.ordinal());
     CancelLog log = new CancelLog(cluster);
     HandChanges hands = new HandChanges(cluster);
@@ -192,7 +192,7 @@
             assertThat(end).as(ref + ", which nobody cancelled").isEqualTo(Wire.DONE);
           }
         });
-    long withdrawn = checks.toldFinal.values().stream().filter(Wire.WITHDRAWN::equals).count();
+    long withdrawn = checks.toldFinal.values().stream().filter(Wire.CANCELLED::equals).count();
     assertThat(withdrawn).as("cancelled in time").isGreaterThan(90);
     assertThat(withdrawn).as("told once, told for ever").isEqualTo(checks.toldCancelled.size());
     assertThat(checks.completed.keySet()).containsAll(doneOnes(checks));
--- a/src/test/java/dunlincroft/sim/StandInTest.java
+++ b/src/test/java/dunlincroft/sim/StandInTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -26,7 +26,7 @@
   /** Its tasks go on; those of cancelled jobs are stopped; all go back to who holds them. */
   @ParameterizedTest
   @CsvSource({"1, 4000, 200", "2, 4000, 3000", "3, 8000, 60000", "4, 1000, 200"})
-  void noWellMachineLosesItsTasks(long seed, long after, long awayMs) throws Malformed {
+  void noWellMachineLosesItsTasks(long seed, long after, long awayMs) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.checks.troublesOver(AT_MS + OUTAGE_MS + 30_000);
     cluster.clock.runUntil(AT_MS);
@@ -50,7 +50,7 @@
    * stand-ins 37 to 62 tasks ended by leases on each of these days.
    */
   @Test
-  void tenEndsWithAnOutage() throws Malformed {
+  void tenEndsWithAnOutage() throws MalformedException {
     long ended = 0;
     for (long[] day : new long[][] {{1, 300}, {2, 3000}, {3, 2000}, {5, 200}}) {
       ended += endedByLeases(day[0], day[1]);
@@ -58,7 +58,7 @@
     assertThat(ended).as("tasks ended by leases on four days").isLessThan(4 * 20);
   }
 
-  private long endedByLeases(long seed, long awayMs) throws Malformed {
+  private long endedByLeases(long seed, long awayMs) throws MalformedException {
     jobs.clear();
     SimCluster cluster = busy(seed);
     cluster.checks.troublesOver(AT_MS + 150_000);
@@ -83,7 +83,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void whoAloneIsCutOffDoesNotStandIn(long seed) throws Malformed {
+  void whoAloneIsCutOffDoesNotStandIn(long seed) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(AT_MS);
     String old = cluster.holderName();
@@ -108,7 +108,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {2, 3, 4})
-  void startsThatWereHeldUpAreVoid(long seed) throws Malformed {
+  void startsThatWereHeldUpAreVoid(long seed) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.checks.troublesOver(AT_MS + 120_000);
     cluster.clock.runUntil(AT_MS);
--- a/src/test/java/dunlincroft/sim/StartLog.java
+++ b/src/test/java/dunlincroft/sim/StartLog.java
@@ -60,7 +60,7 @@
         repeatedTries.add(attempt + ": " + other + ", " + start);
       }
       for (int i = 2; i < group.size(); i++) {
-        String piece = Wire.piece(ref, group.get(i).asInt());
+        String piece = Wire.taskId(ref, group.get(i).asInt());
         if (done.contains(piece)) {
           startsOfDone.add(piece);
         }
@@ -69,7 +69,7 @@
     JsonNode ranges = entry.path("done");
     for (int i = 0; i + 1 < ranges.size(); i += 2) {
       for (int task = ranges.get(i).asInt(); task < ranges.get(i + 1).asInt(); task++) {
-        done.add(Wire.piece(ref, task));
+        done.add(Wire.taskId(ref, task));
       }
     }
   }
--- a/src/test/java/dunlincroft/sim/SupplyTest.java
+++ b/src/test/java/dunlincroft/sim/SupplyTest.java
@@ -4,7 +4,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dunlincroft.operators.Policy;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,7 +17,7 @@
   private SimCloud cloud;
 
   @BeforeEach
-  void fiveMachines() throws Malformed {
+  void fiveMachines() throws MalformedException {
     cluster = new SimCluster(11, Policy.PRESET, Size.SMALL);
     cloud = cluster.cloud;
   }
