--- a/src/test/java/dunlincroft/sim/TakeoverTest.java
+++ b/src/test/java/dunlincroft/sim/TakeoverTest.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.List;
 import java.util.Random;
@@ -138,17 +138,17 @@
     }
   }
 
-  private static SimCluster busy(long seed) throws Malformed {
+  private static SimCluster busy(long seed) throws MalformedException {
     return busy(seed, Policy.PRESET);
   }
 
-  private static SimCluster busy(long seed, Policy policy) throws Malformed {
+  private static SimCluster busy(long seed, Policy policy) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, policy, Size.FLEET);
     cluster.checks.troublesOver(FAULT_MS + 80_000);
     Random random = new Random(seed);
     for (int i = 0; i < Size.FLEET.jobs(); i++) {
       JobSpec spec = RulesTest.job(random, i);
-      long cancelAfter = spec.daemon() ? 100_000 : 0;
+      long cancelAfter = spec.isService() ? 100_000 : 0;
       cluster.clock.after(5000 + 300L * i, () -> cluster.user(spec, cancelAfter));
     }
     return cluster;
@@ -162,7 +162,7 @@
 
   @ParameterizedTest
   @EnumSource(Fault.class)
-  void rulesHoldWhenControllersAndMachinesFail(Fault fault) throws Malformed {
+  void rulesHoldWhenControllersAndMachinesFail(Fault fault) throws MalformedException {
     SimCluster cluster = busy(11);
     cluster.clock.after(FAULT_MS, () -> fault.act.accept(cluster));
     cluster.clock.runUntil(FAULT_MS - 1000);
@@ -184,7 +184,7 @@
         "SUCCESSORS_END_AND_ARE_BACK_AT_ONCE",
         "MACHINES_DIE_AS_THE_BUSIEST_DOES"
       })
-  void rulesHoldWithSeveralHolders(Fault fault) throws Malformed {
+  void rulesHoldWithSeveralHolders(Fault fault) throws MalformedException {
     rulesHold(playedWithSeveralHolders(fault));
   }
 
@@ -196,11 +196,11 @@
   @EnumSource(
       value = Fault.class,
       names = {"ZONE_CUT_WITH_ITS_CONTROLLERS", "MACHINES_DIE_AS_THE_BUSIEST_DOES"})
-  void noJobIsLeftWaitingAmongSeveralShards(Fault fault) throws Malformed {
+  void noJobIsLeftWaitingAmongSeveralShards(Fault fault) throws MalformedException {
     assertThat(playedWithSeveralHolders(fault).checks.leftWaitingAmongShards).isEmpty();
   }
 
-  private static SimCluster playedWithSeveralHolders(Fault fault) throws Malformed {
+  private static SimCluster playedWithSeveralHolders(Fault fault) throws MalformedException {
     SimCluster cluster = busy(12, Policy.parse("holder_machines = 12;"));
     cluster.clock.after(FAULT_MS, () -> fault.act.accept(cluster));
     cluster.clock.runUntil(500_000);
@@ -210,7 +210,7 @@
   /** The successor stops or stands still in the middle of its takeover, at each of its steps. */
   @ParameterizedTest
   @CsvSource({"0,false", "40,true", "150,false", "400,true", "1000,false", "2500,true"})
-  void aTakeoverCutOffIsTakenOver(long after, boolean still) throws Malformed {
+  void aTakeoverCutOffIsTakenOver(long after, boolean still) throws MalformedException {
     SimCluster cluster = busy(13);
     // There is always something that waits for room.
     JobSpec many = RulesTest.simple("run-many", "blue", 3000, 1);
@@ -245,7 +245,7 @@
    * A crash is told from a pause by refused connections; starts go on within a second and a half.
    */
   @Test
-  void aCrashedHolderIsSucceededAtOnceAndLosesNoMachine() throws Malformed {
+  void aCrashedHolderIsSucceededAtOnceAndLosesNoMachine() throws MalformedException {
     SimCluster cluster = busy(14);
     // There is always something that waits for room.
     JobSpec many = RulesTest.simple("run-many", "blue", 4000, 1);
@@ -267,7 +267,7 @@
    * After a restart of all, what the dead lives held is taken up without waiting for their ends.
    */
   @Test
-  void afterARestartOfAllTheLeaderAndTheHolderGoOn() throws Malformed {
+  void afterARestartOfAllTheLeaderAndTheHolderGoOn() throws MalformedException {
     SimCluster cluster = busy(17);
     cluster.clock.runUntil(FAULT_MS);
     for (int node = 0; node < cluster.nodeCount(); node++) {
@@ -290,7 +290,7 @@
    * ready meanwhile. One that restarts beside others leaves its users to them until it has read.
    */
   @Test
-  void aCommonRestartLeavesEverybodyReady() throws Malformed {
+  void aCommonRestartLeavesEverybodyReady() throws MalformedException {
     SimCluster cluster = busy(18);
     cluster.clock.runUntil(FAULT_MS);
     cluster.slowState(100, 5000);
@@ -312,7 +312,7 @@
   /** Links that lose packets, and links that a filter refuses, are nobody's failure. */
   @ParameterizedTest
   @ValueSource(doubles = {0.05, 0.2, 1})
-  void aHolderWithBadLinksKeepsItsShard(double loss) throws Malformed {
+  void aHolderWithBadLinksKeepsItsShard(double loss) throws MalformedException {
     SimCluster cluster = busy(15);
     cluster.clock.runUntil(FAULT_MS);
     String first = cluster.holderName();
@@ -335,7 +335,7 @@
    */
   @ParameterizedTest
   @CsvSource({"5500,false", "40000,true"})
-  void servicesOfACutZoneStartElsewhere(long ms, boolean released) throws Malformed {
+  void servicesOfACutZoneStartElsewhere(long ms, boolean released) throws MalformedException {
     SimCluster cluster = busy(16);
     cluster.clock.runUntil(FAULT_MS);
     String zone = cluster.zoneWithoutTheHolder();
@@ -354,7 +354,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {17, 18, 19, 20})
-  void aTakeoverDoesNotProlongAZonesCut(long seed) throws Malformed {
+  void aTakeoverDoesNotProlongAZonesCut(long seed) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(FAULT_MS);
     cluster.cutZone(cluster.zoneWithoutTheHolder(), 40_000);
--- a/src/test/java/dunlincroft/sim/TypesTest.java
+++ b/src/test/java/dunlincroft/sim/TypesTest.java
@@ -4,7 +4,7 @@
 
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
-import dunlincroft.protocol.Malformed;
+import dunlincroft.protocol.MalformedException;
 import dunlincroft.sim.SimCluster.Size;
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -25,7 +25,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void typesThatCouldNotBeRecordedAreRecordedSoon(long seed) throws Malformed {
+  void typesThatCouldNotBeRecordedAreRecordedSoon(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
     cluster.checks.troublesOver(70_000);
     for (int node = 0; node < cluster.nodeCount(); node++) {
@@ -46,7 +46,7 @@
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = PairsTest.job(random, i);
       cluster.connect(spec.ref(), (leader + 1 + i % 4) % cluster.nodeCount());
-      cluster.user(spec, spec.daemon() ? 100_000 : 0);
+      cluster.user(spec, spec.isService() ? 100_000 : 0);
     }
     cluster.clock.runUntil(CLOUD_BACK_MS + OUTAGE_MS + SOON_MS);
     assertThat(cluster.leader()).isEqualTo(leader);
--- a/src/test/java/dunlincroft/sim/WaitingCheck.java
+++ b/src/test/java/dunlincroft/sim/WaitingCheck.java
@@ -4,7 +4,7 @@
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.JobSpec.Rank;
 import dunlincroft.protocol.MachineType;
-import dunlincroft.protocol.Room;
+import dunlincroft.protocol.Resources;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -36,10 +36,15 @@
   private final Set<String> found = new HashSet<>();
   private final MachineType type =
       new MachineType(
-          SimCluster.TYPE, Room.floor(SimCluster.CPUS, 0, 64), 1.5, 0.5, 2, SimCluster.ZONES);
+          SimCluster.TYPE,
+          Resources.roundedDown(SimCluster.CPUS, 0, 64),
+          1.5,
+          0.5,
+          2,
+          SimCluster.ZONES);
 
   /** A machine that can take work, what is free of it, and whether it has services. */
-  private record Machine(SimWorker worker, Room free, boolean services) {}
+  private record Machine(SimWorker worker, Resources free, boolean services) {}
 
   WaitingCheck(SimCluster cluster, Checks checks) {
     this.cluster = cluster;
@@ -55,11 +60,11 @@
   void sweep() {
     long now = cluster.clock.now();
     List<Machine> machines = ready(now);
-    Map<String, Room> used = new HashMap<>();
+    Map<String, Resources> used = new HashMap<>();
     for (String ref : checks.accepted) {
       JobSpec spec = cluster.uploaded(ref);
-      Room room = spec.room().times(checks.machinesOf(ref).size());
-      used.merge(spec.owner(), room, Room::plus);
+      Resources room = spec.resources().times(checks.machinesOf(ref).size());
+      used.merge(spec.team(), room, Resources::plus);
     }
     for (String ref : checks.accepted) {
       if (!waits(ref) || !hasRoom(cluster.uploaded(ref), machines, used)) {
@@ -86,7 +91,7 @@
     JobSpec spec = cluster.uploaded(ref);
     JsonNode record = cluster.state.under("d/jobs/").get(ref);
     String shard = record == null ? "" : record.path("shard").asText();
-    Map<String, Long> free = new TreeMap<>(unusedParts(spec.owner()));
+    Map<String, Long> free = new TreeMap<>(unusedParts(spec.team()));
     Map<String, String> shardOf = shardsOfMachines();
     Map<String, Integer> fitting = new TreeMap<>();
     for (Machine machine : machines) {
@@ -97,7 +102,7 @@
     return "of shard "
         + shard
         + ", a task takes "
-        + spec.room().cpu()
+        + spec.resources().cpu()
         + ", unused parts of its team's limit "
         + free
         + ", machines that fit "
@@ -117,8 +122,8 @@
     for (String ref : checks.accepted) {
       JsonNode record = cluster.state.under("d/jobs/").get(ref);
       JobSpec spec = cluster.uploaded(ref);
-      if (record != null && spec.owner().equals(team)) {
-        long used = spec.room().cpu() * checks.machinesOf(ref).size();
+      if (record != null && spec.team().equals(team)) {
+        long used = spec.resources().cpu() * checks.machinesOf(ref).size();
         unused.merge(record.path("shard").asText(), -used, Long::sum);
       }
     }
@@ -160,13 +165,13 @@
       return false;
     }
     int done = checks.completed.getOrDefault(ref, Set.of()).size();
-    return done + checks.machinesOf(ref).size() < cluster.uploaded(ref).pieces();
+    return done + checks.machinesOf(ref).size() < cluster.uploaded(ref).taskCount();
   }
 
-  private boolean hasRoom(JobSpec spec, List<Machine> machines, Map<String, Room> used) {
-    Room limit = cluster.settings.teams().get(spec.owner()).limit();
-    Room after = used.getOrDefault(spec.owner(), Room.NONE).plus(spec.room());
-    if (!after.fits(limit)) {
+  private boolean hasRoom(JobSpec spec, List<Machine> machines, Map<String, Resources> used) {
+    Resources limit = cluster.settings.teams().get(spec.team()).limit();
+    Resources after = used.getOrDefault(spec.team(), Resources.NONE).plus(spec.resources());
+    if (!after.fitsInto(limit)) {
       return false;
     }
     Map<String, Integer> perZone = perZone(spec.ref());
@@ -181,22 +186,22 @@
 
   private boolean suits(JobSpec spec, Machine machine, Map<String, Integer> perZone) {
     String zone = machine.worker.hall;
-    boolean apart = spec.samePlace() && !perZone.isEmpty() && !perZone.containsKey(zone);
+    boolean apart = spec.sameZone() && !perZone.isEmpty() && !perZone.containsKey(zone);
     boolean cheap = machine.worker.cheap;
     return !apart
-        && perZone.getOrDefault(zone, 0) < spec.zoneMost()
+        && perZone.getOrDefault(zone, 0) < spec.maxTasksPerZone()
         && spec.allows(SimCluster.TYPE, zone, cheap)
         && (!cheap || cluster.policy.spot(spec))
-        && spec.room().fits(machine.free.minus(kept(spec, machine)));
+        && spec.resources().fitsInto(machine.free.minus(kept(spec, machine)));
   }
 
   /** What the operators keep free of a machine. */
-  private Room kept(JobSpec spec, Machine machine) {
+  private Resources kept(JobSpec spec, Machine machine) {
     String zone = machine.worker.hall;
     double part = 1 - cluster.policy.bound(type, zone, machine.worker.cheap);
     if (spec.rank() != Rank.PROD && machine.services) {
       part += cluster.policy.reserve(type, zone, machine.worker.cheap);
     }
-    return new Room((long) (type.room().cpu() * part), 0, 0);
+    return new Resources((long) (type.resources().cpu() * part), 0, 0);
   }
 }
--- a/src/test/java/dunlincroft/transport/LoopbackTest.java
+++ b/src/test/java/dunlincroft/transport/LoopbackTest.java
@@ -24,18 +24,18 @@
     return new NettyEnv(
         SystemNanoClock.INSTANCE,
         SystemEpochClock.INSTANCE,
-        new NettyEnv.Limits(sockets, 1, Set.of()));
+        new NettyEnv.SocketLimits(sockets, 1, Set.of()));
   }
 
   private Reply call(String address, String path, byte[] body, long timeoutMs) throws Exception {
     CompletableFuture<Reply> reply = new CompletableFuture<>();
-    env.enter(
+    env.runLocked(
         () -> env.call(new Env.Call(address, "POST", path, body, timeoutMs), reply::complete));
     return reply.get(10, TimeUnit.SECONDS);
   }
 
   @Test
-  void requestsAreAnsweredOrTimeOutAndAFaultyHandlerEndsNothing() throws Exception {
+  void requestsAreAnsweredOrTimeOutAndAFailingHandlerDoesNotStopTheServer() throws Exception {
     HttpServer server =
         new HttpServer(
             env,
@@ -59,36 +59,38 @@
     channel.close().sync();
     assertThat(call(address, "/echo", new byte[3], 1000).status()).isIn(0, 200);
     Reply refused = call("127.0.0.1:1", "/echo", new byte[3], 1000);
-    assertThat(refused.left()).as("a refused connection carries nothing").isFalse();
+    assertThat(refused.mayBeExecuted()).as("a refused connection carries nothing").isFalse();
   }
 
   @Property(seed = "5", tries = 100)
-  void beatsSurviveTheLink(
+  void heartbeatsSurviveEncoding(
       @ForAll @AlphaChars String node, @ForAll long incarnation, @ForAll long silent) {
-    PeerLink link = new PeerLink(env, () -> null, beat -> {}, (other, refused) -> {});
+    PeerLink link = new PeerLink(env, () -> null, heartbeat -> {}, (other, refused) -> {});
     boolean odd = silent % 2 != 0;
-    List<Beat.Hearing> hearings =
-        odd ? List.of() : List.of(new Beat.Hearing(node, silent, silent / 2, odd, !odd, odd));
-    Beat.Told told =
-        new Beat.Told(
+    List<PeerHeartbeat.PeerObservation> observations =
+        odd
+            ? List.of()
+            : List.of(new PeerHeartbeat.PeerObservation(node, silent, silent / 2, odd, !odd, odd));
+    PeerHeartbeat.CancellationReport cancellations =
+        new PeerHeartbeat.CancellationReport(
             incarnation,
             silent,
-            odd ? List.of(new Beat.Echo(node, silent, incarnation)) : List.of(),
+            odd ? List.of(new PeerHeartbeat.HeartbeatEcho(node, silent, incarnation)) : List.of(),
             silent / 5,
             incarnation / 3,
             silent / 7,
-            odd ? List.of() : List.of(new Beat.Cancelled(node, silent)));
-    Beat beat =
-        new Beat(
+            odd ? List.of() : List.of(new PeerHeartbeat.CancelledJob(node, silent)));
+    PeerHeartbeat heartbeat =
+        new PeerHeartbeat(
             node,
             incarnation,
             silent,
             silent / 3.0,
             incarnation / 7.0,
             silent,
-            hearings,
-            Beat.Load.NONE,
-            told);
-    assertThat(link.decode(link.encode(beat))).isEqualTo(beat);
+            observations,
+            PeerHeartbeat.Load.NONE,
+            cancellations);
+    assertThat(link.decode(link.encode(heartbeat))).isEqualTo(heartbeat);
   }
 }
