--- a/src/main/java/dunlincroft/protocol/BlockClass.java
+++ b/src/main/java/dunlincroft/protocol/BlockClass.java
@@ -1,8 +1,11 @@
 package dunlincroft.protocol;
 
-/** Machines of one class serve the same jobs: type, zone, and whether they are spot machines. */
+/**
+ * Machine type, zone, and whether the machines are preemptible (spot): machines that agree in these
+ * are interchangeable for jobs.
+ */
 public record BlockClass(String machineType, String zone, boolean preemptible) {
-  /** As operators read it in the log. */
+  /** The form in which the log shows it to operators. */
   @Override
   public String toString() {
     return machineType + "/" + zone + "/" + (preemptible ? "spot" : "ordinary");
--- a/src/main/java/dunlincroft/protocol/BlockRecord.java
+++ b/src/main/java/dunlincroft/protocol/BlockRecord.java
@@ -9,15 +9,19 @@
 import java.util.Map;
 
 /**
- * A block: machines of one class, leased to a shard together. Each host stands with the time of day
- * of its rental, in milliseconds.
+ * The stored record of a block: machines of one class that are leased to a shard together.
+ *
+ * @param hosts the machines of the block, each with the time of day of its rental in milliseconds
  */
 public record BlockRecord(String shard, BlockClass blockClass, Map<String, Long> hosts) {
   public BlockRecord {
     hosts = Collections.unmodifiableMap(new LinkedHashMap<>(hosts));
   }
 
-  /** Reads a block; the version before had one machine a block, under the machine's name. */
+  /**
+   * Parses a block. Blocks of the previous version have one machine each and no field {@code
+   * hosts}; their name is the machine's name.
+   */
   public static BlockRecord parse(String name, JsonNode map) throws MalformedException {
     Map<String, Long> hosts = new LinkedHashMap<>();
     JsonNode list = map.get("hosts");
@@ -50,14 +54,14 @@
     return map;
   }
 
-  /** The block without these machines. */
+  /** The block without the given machines. */
   public BlockRecord without(Collection<String> removed) {
     Map<String, Long> remaining = new LinkedHashMap<>(hosts);
     remaining.keySet().removeAll(removed);
     return new BlockRecord(shard, blockClass, remaining);
   }
 
-  /** These of its machines, leased to another shard. */
+  /** A block of only the selected machines, leased to another shard. */
   public BlockRecord subset(Collection<String> selected, String newShard) {
     Map<String, Long> selectedHosts = new LinkedHashMap<>(hosts);
     selectedHosts.keySet().retainAll(selected);
--- a/src/main/java/dunlincroft/protocol/Cbor.java
+++ b/src/main/java/dunlincroft/protocol/Cbor.java
@@ -10,7 +10,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Bodies as bytes and back. Every body on every interface is one CBOR map. */
+/** Encodes and decodes message bodies. Every body on every interface is one CBOR map. */
 public final class Cbor {
   private static final ObjectMapper MAPPER =
       new ObjectMapper(new CBORFactory()).enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
@@ -24,9 +24,9 @@
       if (node instanceof ObjectNode map) {
         return map;
       }
-      throw new MalformedException("the body is not a map");
+      throw new MalformedException("the body is not a CBOR map");
     } catch (IOException e) {
-      throw new MalformedException("the body is not CBOR");
+      throw new MalformedException("the body is not valid CBOR");
     }
   }
 
--- a/src/main/java/dunlincroft/protocol/Fields.java
+++ b/src/main/java/dunlincroft/protocol/Fields.java
@@ -5,11 +5,13 @@
 import java.util.List;
 
 /**
- * Typed reading of a map's fields. Each method throws {@link MalformedException} naming the field.
+ * Reads typed fields of a map. A missing or mistyped field is reported by a {@link
+ * MalformedException} that names it.
  */
 public final class Fields {
   private Fields() {}
 
+  /** Whether a field is missing or null. */
   public static boolean isAbsent(JsonNode map, String field) {
     JsonNode node = map.get(field);
     return node == null || node.isNull();
@@ -35,7 +37,7 @@
     return node.booleanValue();
   }
 
-  /** A finite number that is not negative. */
+  /** Reads a finite, non-negative number. */
   public static double amount(JsonNode map, String field) throws MalformedException {
     JsonNode node = map.get(field);
     if (node == null || !node.isNumber()) {
@@ -53,7 +55,7 @@
     return isAbsent(map, field) ? defaultValue : amount(map, field);
   }
 
-  /** A whole number from 0 to 2^63-1. */
+  /** Reads an integer from 0 to 2^63-1. */
   public static long count(JsonNode map, String field) throws MalformedException {
     JsonNode node = map.get(field);
     if (node == null || !node.isIntegralNumber() || !node.canConvertToLong()) {
--- a/src/main/java/dunlincroft/protocol/JobSpec.java
+++ b/src/main/java/dunlincroft/protocol/JobSpec.java
@@ -12,7 +12,33 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** A user's description of a job, checked. Rooms are in thousandths, so that sums are exact. */
+/**
+ * A validated job description, as submitted by a user. Some fields have other names on the wire:
+ * see {@link #parse}.
+ *
+ * @param ref id of the job
+ * @param jobclass class of similar jobs that the user assigns it to
+ * @param team the team that submitted it; {@code owner} on the wire
+ * @param isService whether it is a service, whose tasks are replicas without an end; shape {@code
+ *     daemon} on the wire, {@code batch} otherwise
+ * @param taskCount {@code pieces} on the wire
+ * @param resources what each task needs
+ * @param image name of the image that tasks run, of {@code imageGb} GB; {@code bundle} on the wire
+ * @param machineTypes the types on which tasks may run, or null for any; {@code flavours} on the
+ *     wire
+ * @param requiredZone the only zone in which tasks may run, or null for any; {@code hall} on the
+ *     wire
+ * @param sameZone whether all tasks must run in one zone; {@code samePlace} on the wire
+ * @param spreadZones whether no zone may have more than half of the tasks; {@code spread} on the
+ *     wire
+ * @param toleratesSpot whether tasks may run on preemptible machines; {@code lendable} on the wire
+ * @param estimatedRunS the user's estimate of a task's run time; {@code expectS} on the wire
+ * @param snapshotIntervalS how often a task saves its state, or 0 if it never does; {@code
+ *     snapshotS} on the wire
+ * @param saveDurationS how long saving the state takes; {@code flushS} on the wire
+ * @param deadlineS seconds within which the job is wanted, or {@link #NO_DEADLINE}; {@code dueS} on
+ *     the wire
+ */
 public record JobSpec(
     String ref,
     String jobclass,
@@ -33,7 +59,7 @@
     double saveDurationS,
     double deadlineS) {
 
-  /** Ranks, the most important first. */
+  /** Priority of a job; the constants are ordered from the highest to the lowest. */
   public enum Rank {
     PROD,
     URGENT,
@@ -41,7 +67,7 @@
     IDLE
   }
 
-  /** A job without a deadline. */
+  /** The value of {@code deadlineS} of a job without a deadline. */
   public static final double NO_DEADLINE = Double.POSITIVE_INFINITY;
 
   private static final Pattern REF_PATTERN = Pattern.compile("run-[A-Za-z0-9_.-]{1,120}");
@@ -95,7 +121,7 @@
     };
   }
 
-  /** The description as it is kept in the job's record. */
+  /** The description as it is stored in the job's record; {@link #parse} reads it. */
   public ObjectNode toNode() {
     ObjectNode map = Cbor.map();
     map.put("ref", ref)
@@ -124,12 +150,15 @@
     return map;
   }
 
-  /** Most tasks that may be in one zone at a time. */
+  /** How many tasks may run in one zone at the same time. */
   public int maxTasksPerZone() {
     return spreadZones ? (taskCount + 1) / 2 : taskCount;
   }
 
-  /** The part of the constraints that a machine alone decides. */
+  /**
+   * Whether the job's tasks may run on a machine, as far as its type, zone and preemptibility
+   * decide.
+   */
   public boolean allows(String machineType, String zone, boolean preemptible) {
     return (machineTypes == null || machineTypes.contains(machineType))
         && (requiredZone == null || requiredZone.equals(zone))
--- a/src/main/java/dunlincroft/protocol/LogRecord.java
+++ b/src/main/java/dunlincroft/protocol/LogRecord.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * One slot of a shard's log: what became of tasks of many jobs, in the order of its entries'
- * numbers. An entry gives the newest state of the tasks that it names, whatever it was before.
+ * The stored record of one slot of a shard's log: changes of task states of many jobs, ordered by
+ * entry number. An entry replaces the former state of the tasks that it names.
  */
 public record LogRecord(List<Entry> entries) {
-  /** News of one job; entries written together share a number. */
+  /** The changes of one job; entries that were written together share a number. */
   public record Entry(long number, String job, TaskState state) {
     public static Entry parse(JsonNode map) throws MalformedException {
       return new Entry(Fields.count(map, "n"), Fields.text(map, "job"), TaskState.parse(map));
@@ -31,7 +31,7 @@
     return new LogRecord(entries);
   }
 
-  /** The number of the last entry; 0 without any. */
+  /** The number of the last entry, or 0 if there are no entries. */
   public long lastNumber() {
     return entries.isEmpty() ? 0 : entries.get(entries.size() - 1).number();
   }
--- a/src/main/java/dunlincroft/protocol/MachineType.java
+++ b/src/main/java/dunlincroft/protocol/MachineType.java
@@ -5,7 +5,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A machine type of the cloud. */
+/**
+ * A machine type that the cloud provider offers.
+ *
+ * @param spotPrice price of a preemptible machine; {@code lowPrice} on the wire, and {@link
+ *     Double#MAX_VALUE} if there are none of this type
+ * @param startupS usual time from the rental to the start of the worker
+ * @param zones the zones that offer the type; {@code halls} on the wire
+ */
 public record MachineType(
     String label,
     Resources resources,
--- a/src/main/java/dunlincroft/protocol/MalformedException.java
+++ b/src/main/java/dunlincroft/protocol/MalformedException.java
@@ -1,6 +1,8 @@
 package dunlincroft.protocol;
 
-/** A body or a value that the protocol does not allow; the message names the field. */
+/**
+ * Thrown for a message body or value that the protocol does not allow; the message names the field.
+ */
 public final class MalformedException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/dunlincroft/protocol/PageRecord.java
+++ b/src/main/java/dunlincroft/protocol/PageRecord.java
@@ -4,11 +4,17 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * The state of a run of a job's tasks as of an entry of its shard's log: later entries go on top of
- * it. Task numbers count from the page's first task.
+ * The stored state of a contiguous range of a job's tasks.
+ *
+ * @param state the state, with task numbers relative to the first task of the page
+ * @param upToEntry number of the last entry of the shard's log that is included; later entries are
+ *     to be applied on top
  */
 public record PageRecord(TaskState state, long upToEntry) {
-  /** Reads a page; the version before had no log, and its pages are complete as of its start. */
+  /**
+   * Parses a page. The previous version had no log, so its pages include everything before the
+   * first log entry.
+   */
   public static PageRecord parse(JsonNode map) throws MalformedException {
     return new PageRecord(TaskState.parse(map), map.has("upTo") ? Fields.count(map, "upTo") : 0);
   }
--- a/src/main/java/dunlincroft/protocol/Resources.java
+++ b/src/main/java/dunlincroft/protocol/Resources.java
@@ -3,12 +3,15 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Processors, accelerators and memory, in thousandths: sums and limits are exact. */
+/**
+ * Amounts of processors, accelerators and memory in GB, each in thousandths, so that sums and
+ * comparisons are exact.
+ */
 public record Resources(long cpu, long gpu, long ram) {
   public static final Resources NONE = new Resources(0, 0, 0);
   private static final double UNITS_PER_WHOLE = 1000.0;
 
-  /** What a task takes; rounded up, so that rounding never lets too much in. */
+  /** Parses the demand of a task; rounded up, so that rounding never overcommits a machine. */
   static Resources parse(JsonNode map) throws MalformedException {
     return new Resources(
         roundUp(Fields.amount(map, "cpus")),
@@ -16,7 +19,7 @@
         roundUp(Fields.amount(map, "ramGb")));
   }
 
-  /** What a machine or a team has; rounded down. */
+  /** The capacity of a machine or the limit of a team; rounded down. */
   public static Resources roundedDown(double cpus, double gpus, double ramGb) {
     return new Resources(roundDown(cpus), roundDown(gpus), roundDown(ramGb));
   }
@@ -47,11 +50,12 @@
     return new Resources(cpu * n, gpu * n, ram * n);
   }
 
+  /** Whether this demand fits into a capacity. */
   public boolean fitsInto(Resources capacity) {
     return cpu <= capacity.cpu && gpu <= capacity.gpu && ram <= capacity.ram;
   }
 
-  /** How many of this fit into {@code free}, at most {@code most}. */
+  /** How many times these resources fit into {@code free}, at most {@code limit}. */
   public int countIn(Resources free, int limit) {
     long n = limit;
     if (cpu > 0) {
--- a/src/main/java/dunlincroft/protocol/TaskState.java
+++ b/src/main/java/dunlincroft/protocol/TaskState.java
@@ -9,14 +9,17 @@
 import java.util.List;
 
 /**
- * The recorded state of some of a job's tasks: those done, those that wait again, and for every
- * task that may be on a machine its host and try. Runs of tasks are written as ranges. {@code
- * faulty}: all that was tried of the job failed, on several machines; so a new holder knows it,
- * too.
+ * The stored state of some of a job's tasks. Contiguous tasks are written as ranges.
+ *
+ * @param done tasks that are done
+ * @param waiting tasks that wait to be placed again
+ * @param placements host and attempt of every task that may be on a machine
+ * @param faulty whether every attempt of the job so far failed, on several machines; stored so that
+ *     a new owner of the shard knows it
  */
 public record TaskState(
     BitSet done, BitSet waiting, List<TaskPlacement> placements, boolean faulty) {
-  /** A task that may be on {@code host} as {@code attempt}. */
+  /** A task that may be on {@code host}, as attempt number {@code attempt}. */
   public record TaskPlacement(int task, String host, long attempt) {}
 
   private static BitSet parseRanges(JsonNode ranges) {
@@ -40,7 +43,7 @@
     List<TaskPlacement> placements = new ArrayList<>();
     for (JsonNode group : Fields.list(map, "at")) {
       if (group.size() < 2 || !group.get(0).isTextual() || !group.get(1).isIntegralNumber()) {
-        throw new MalformedException("at must hold lists of host, try and tasks");
+        throw new MalformedException("at must contain lists of host, attempt and task numbers");
       }
       for (int i = 2; i < group.size(); i++) {
         placements.add(
@@ -53,7 +56,7 @@
     return new TaskState(parseRanges(Fields.list(map, "done")), waiting, placements, faulty);
   }
 
-  /** Tasks of one host and try share a group, so that a batch started together stays small. */
+  /** Writes the fields. Tasks of one host and attempt share a group, which keeps records small. */
   void write(ObjectNode map) {
     writeRanges(done, map.putArray("done"));
     if (faulty) {
--- a/src/main/java/dunlincroft/protocol/Wire.java
+++ b/src/main/java/dunlincroft/protocol/Wire.java
@@ -1,6 +1,6 @@
 package dunlincroft.protocol;
 
-/** Names on the wire that more than one place uses. */
+/** Names of the wire protocol that are used in more than one place. */
 public final class Wire {
   private Wire() {}
 
@@ -22,30 +22,31 @@
   public static final String SESSION_LEASES = "/holds";
   public static final String CHANGES = "/changes";
 
-  // job states
+  // job states; a cancelled job is "withdrawn" on the wire
   public static final String PENDING = "pending";
   public static final String RUNNING = "running";
   public static final String DONE = "done";
   public static final String CANCELLED = "withdrawn";
 
-  // task states and causes
+  // task states and causes of their end; "full" says that the machine had no free capacity
   public static final String SAVING = "saving";
   public static final String EXITED = "exited";
   public static final String STOPPED = "stopped";
   public static final String NO_CAPACITY = "full";
 
-  // verbs
+  // verbs of orders; "reap" makes the worker discard an ended task
   public static final String RUN = "run";
   public static final String KILL = "kill";
   public static final String DISCARD = "reap";
 
-  /** Kinds of key in the state service: {@code d/KIND/NAME}. */
+  /** Prefix of all keys in the state service, which have the form {@code d/KIND/NAME}. */
   public static final String KEY_ROOT = "d/";
 
   public static String key(String kind, String name) {
     return KEY_ROOT + kind + "/" + name;
   }
 
+  /** The id of a task in messages: the job's id, a slash and the task's number. */
   public static String taskId(String job, int task) {
     return job + "/" + task;
   }
--- a/src/main/java/dunlincroft/protocol/WorkerOrder.java
+++ b/src/main/java/dunlincroft/protocol/WorkerOrder.java
@@ -4,7 +4,15 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 
-/** One command to a worker. */
+/**
+ * An order to a worker: to run a task, to stop it, or to discard an ended one from its reports.
+ *
+ * @param verb {@link Wire#RUN}, {@link Wire#KILL} or {@link Wire#DISCARD}
+ * @param taskId {@code piece} on the wire
+ * @param attempt number of the attempt to run the task; {@code try} on the wire
+ * @param graceS with {@link Wire#KILL}, time that the task has to save its state; {@code windDownS}
+ *     on the wire
+ */
 public record WorkerOrder(String verb, String taskId, long attempt, double graceS) {
   public static WorkerOrder run(String taskId, long attempt) {
     return new WorkerOrder(Wire.RUN, taskId, attempt, 0);
@@ -18,7 +26,10 @@
     return new WorkerOrder(Wire.DISCARD, taskId, attempt, 0);
   }
 
-  /** The body that carries orders: the answer to a hello, and with a tenure a direct command. */
+  /**
+   * A message body with orders: the answer to a worker heartbeat. A direct command has the worker's
+   * session number in addition, {@code tenure} on the wire.
+   */
   public static ObjectNode body(long fence, List<WorkerOrder> orders) {
     ObjectNode map = Cbor.map().put("fence", fence);
     ArrayNode list = map.putArray("orders");
--- a/src/main/java/dunlincroft/protocol/WorkerReport.java
+++ b/src/main/java/dunlincroft/protocol/WorkerReport.java
@@ -4,7 +4,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A worker's report, as it comes by /hello and in answers of /commands and /status. */
+/**
+ * A worker's report: the body of its heartbeats ({@code /hello}) and of its answers to {@code
+ * /commands} and {@code /status}.
+ *
+ * @param machineType {@code flavour} on the wire
+ * @param zone {@code hall} on the wire
+ * @param preemptible {@code lendable} on the wire
+ * @param sessionNumber rises whenever the worker starts a new session; {@code tenure} on the wire
+ * @param counter number of the report within the session
+ * @param fence the highest fence token that the worker has seen
+ * @param reclaimNoticeS seconds until the cloud provider reclaims the machine, or {@link
+ *     #NO_RECLAIM_NOTICE}; {@code warningS} on the wire
+ * @param tasks {@code pieces} on the wire
+ */
 public record WorkerReport(
     String host,
     String endpoint,
@@ -17,10 +30,17 @@
     double reclaimNoticeS,
     List<TaskReport> tasks) {
 
-  /** No notice from the cloud. */
+  /** The cloud provider has not announced to reclaim the machine. */
   public static final double NO_RECLAIM_NOTICE = -1;
 
-  /** One task on the machine; {@code job} and {@code task} are taken from its id. */
+  /**
+   * State of one task on the machine.
+   *
+   * @param id {@code piece} on the wire; {@code job} and {@code task} are parsed from it
+   * @param attempt {@code try} on the wire
+   * @param cause why the task has ended, or null
+   * @param isStateSaved {@code stored} on the wire
+   */
   public record TaskReport(
       String id,
       String job,
@@ -34,7 +54,7 @@
     }
   }
 
-  /** Whether an answer of a worker to a question is that of a machine. */
+  /** Whether a worker's answer to a query is valid and comes from the given machine. */
   public static boolean isAnswerOf(String host, int status, byte[] body) {
     try {
       return status == 200 && Fields.text(Cbor.parse(body), "host").equals(host);
@@ -43,7 +63,7 @@
     }
   }
 
-  /** Whether this report was made after another one of the same worker. */
+  /** Whether this report is newer than another one of the same worker. */
   public boolean isNewerThan(long otherSessionNumber, long otherCounter) {
     return sessionNumber > otherSessionNumber
         || (sessionNumber == otherSessionNumber && counter > otherCounter);
--- a/src/main/java/dunlincroft/transport/Addresses.java
+++ b/src/main/java/dunlincroft/transport/Addresses.java
@@ -5,13 +5,16 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Numeric addresses only: name look-ups are not available where the program runs. */
+/** Parses network addresses. Only numeric ones: the program's environment has no name service. */
 public final class Addresses {
   static final String CBOR = "application/cbor";
 
   private Addresses() {}
 
-  /** Parses {@code 10.0.0.1:8080}; anything else is an {@link IllegalArgumentException}. */
+  /**
+   * Parses an address of the form {@code 10.0.0.1:8080}; throws {@link IllegalArgumentException}
+   * for anything else.
+   */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     byte[] ip =
--- a/src/main/java/dunlincroft/transport/DeferredTask.java
+++ b/src/main/java/dunlincroft/transport/DeferredTask.java
@@ -1,6 +1,6 @@
 package dunlincroft.transport;
 
-/** Runs one thing from a timer, once for however many ask for it before it runs. */
+/** Runs a task from a timer; requests made before it runs are combined into one run. */
 public final class DeferredTask {
   private final Env env;
   private final Runnable task;
@@ -11,6 +11,7 @@
     this.task = task;
   }
 
+  /** Schedules the task, unless it is already scheduled. */
   public void schedule(long delayMs) {
     if (!isScheduled) {
       isScheduled = true;
--- a/src/main/java/dunlincroft/transport/HttpClient.java
+++ b/src/main/java/dunlincroft/transport/HttpClient.java
@@ -33,8 +33,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * HTTP/1.1 calls over kept connections, one request at a time on each. Runs on the single event
- * loop, which also confines its pools.
+ * HTTP/1.1 client with pools of persistent connections and one request at a time on each. It runs
+ * on the single event loop, to which its pools are confined.
  */
 final class HttpClient {
   private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
@@ -47,7 +47,8 @@
       new Object2ObjectOpenHashMap<>();
 
   /**
-   * @param reservedAddresses addresses that always get a connection; all others are workers'
+   * @param reservedAddresses addresses to which a connection is always allowed; all other addresses
+   *     are those of workers
    */
   HttpClient(
       EventLoopGroup group, int maxReplyBytes, Sockets sockets, Set<String> reservedAddresses) {
@@ -116,7 +117,7 @@
               .handler(connection.initializer())
               .connect(Addresses.parse(address));
     } catch (IllegalArgumentException e) {
-      LOG.info("no such address {}: {}", address, e.getMessage());
+      LOG.info("invalid address {}: {}", address, e.getMessage());
       socket.markClosed();
       callback.accept(Reply.NOT_SENT);
       return;
--- a/src/main/java/dunlincroft/transport/HttpServer.java
+++ b/src/main/java/dunlincroft/transport/HttpServer.java
@@ -23,7 +23,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetSocketAddress;
 
-/** The HTTP/1.1 server that users, workers and health checks reach. */
+/** The HTTP/1.1 server for users, workers and health checks. */
 public final class HttpServer {
   private static final int MISDIRECTED = HttpResponseStatus.MISDIRECTED_REQUEST.code();
 
@@ -35,7 +35,7 @@
     this.handler = handler;
   }
 
-  /** Listens; throws when the address cannot be had. */
+  /** Starts to listen; throws if the address cannot be bound. */
   public Channel listen(InetSocketAddress address) throws InterruptedException {
     return new ServerBootstrap()
         .group(env.group())
@@ -49,7 +49,8 @@
               protected void initChannel(SocketChannel ch) {
                 Sockets.Socket socket = env.sockets().acquire(Sockets.Purpose.SERVED);
                 if (socket == null) {
-                  // In time: past the limit connections would fail at random, hellos among them.
+                  // Refused before the process limit is reached: beyond it connections fail at
+                  // random, among them those of worker heartbeats.
                   ch.close();
                   return;
                 }
@@ -80,7 +81,7 @@
       Responder responder =
           (status, body, retryAfterS) -> {
             socket.markIdle();
-            // Who is sent elsewhere has no use for this connection, nor have we.
+            // A client that is redirected to another controller does not need this connection.
             boolean keepAlive = keepAliveRequested && status != MISDIRECTED;
             send(ctx, keepAlive, status, body, retryAfterS);
           };
--- a/src/main/java/dunlincroft/transport/NettyEnv.java
+++ b/src/main/java/dunlincroft/transport/NettyEnv.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The real world behind {@link Env}: one NIO thread, and one short lock around all shared state.
- * What the guarded code wants sent waits in an outbox until the lock is free again, so that no I/O
- * happens under it.
+ * The implementation of {@link Env} in production: one NIO thread, and one lock, held briefly, that
+ * guards all shared state. Sends requested by guarded code wait in an outbox until the lock is
+ * released, so that no I/O is done while it is held.
  */
 public final class NettyEnv implements Env {
   private static final Logger LOG = LoggerFactory.getLogger(NettyEnv.class);
@@ -32,14 +32,17 @@
   private final Sockets sockets;
   private final HttpClient client;
 
-  /** What connections the process may have. */
+  /**
+   * Limits of the connections of this process.
+   *
+   * @param maxSockets connections that the process may have in all
+   * @param maxRequestGapS longest time in seconds between two requests of a client that sends them
+   *     regularly
+   * @param reservedAddresses addresses to which a connection is always allowed
+   */
   public record SocketLimits(
       int maxSockets, double maxRequestGapS, Set<String> reservedAddresses) {}
 
-  /**
-   * @param limits connections in all; seconds between two requests of one that comes regularly, at
-   *     the most; and the addresses that always get a connection
-   */
   public NettyEnv(NanoClock monotonicClock, EpochClock wallClock, SocketLimits limits) {
     this.monotonicClock = monotonicClock;
     this.wallClock = wallClock;
@@ -61,15 +64,15 @@
     return group;
   }
 
-  /** Runs state-changing code under the lock, then sends what it left in the outbox. */
+  /** Runs code that accesses shared state under the lock, then sends what it put in the outbox. */
   public void runLocked(Runnable action) {
     Runnable[] sends;
     lock.lock();
     try {
       action.run();
     } catch (RuntimeException e) {
-      // A fault in one event must not end the process: the next event finds guarded state.
-      LOG.error("event failed", e);
+      // An exception in one event must not end the process: other events can still be handled.
+      LOG.error("exception while handling an event", e);
     } finally {
       sends = outbox.toArray(Runnable[]::new);
       outbox.clear();
@@ -80,7 +83,7 @@
     }
   }
 
-  /** Keeps a send until the lock is free; called by guarded code only. */
+  /** Puts a send into the outbox, until the lock is released; called under the lock only. */
   void sendAfterUnlock(Runnable send) {
     outbox.add(send);
   }
@@ -103,7 +106,7 @@
   @Override
   public void after(long delayMs, Runnable task) {
     if (delayMs <= 0) {
-      // Without a timer: the loop would ask for ready sockets once more before it.
+      // Not scheduled as a timer: the event loop would poll the sockets once more before it.
       group.execute(() -> runLocked(task));
     } else {
       group.schedule(() -> runLocked(task), delayMs, TimeUnit.MILLISECONDS);
--- a/src/main/java/dunlincroft/transport/PeerHeartbeat.java
+++ b/src/main/java/dunlincroft/transport/PeerHeartbeat.java
@@ -3,13 +3,20 @@
 import java.util.List;
 
 /**
- * What controllers tell each other, as advice only: who is there, since when it has heard nothing
- * from the state service, what it wants of that service's rates, in requests and changes a second,
- * how often it has refuted a suspicion, what it hears of the other controllers, how much users ask
- * of it, what it has told them of cancellations, and which of its machines do not serve.
+ * The heartbeat that controllers send to each other. Its content is advisory: it never decides
+ * whether a write is safe. {@link PeerLink} defines its encoding.
  *
- * @param silentMachines machines of the sender's shards that it has not heard for too long, so that
- *     the leader can rent others before they are given up; at most {@code
+ * @param node name of the sender
+ * @param incarnation incarnation of the sender, or 0 until its first session lease
+ * @param stateSilentMs milliseconds since the sender last heard from the state service
+ * @param requestDemand requests a second that the sender needs of the state service's rate limit
+ * @param writeDemand changes a second that the sender needs of the state service's rate limit
+ * @param refutations how often the sender has refuted a suspicion of itself
+ * @param observations what the sender observes of the other controllers
+ * @param load the sender's load of submissions
+ * @param cancellations the cancellations that the sender has acknowledged to users
+ * @param silentMachines machines of the sender's shards that have been silent for too long, so that
+ *     the leader can rent replacements before they are released; at most {@code
  *     Constants.SILENT_MACHINES_TOLD}
  */
 public record PeerHeartbeat(
@@ -24,7 +31,7 @@
     CancellationReport cancellations,
     List<String> silentMachines) {
 
-  /** A beat that tells of no silent machines. */
+  /** A heartbeat without silent machines. */
   public PeerHeartbeat(
       String node,
       long incarnation,
@@ -48,7 +55,7 @@
         List.of());
   }
 
-  /** A beat that tells nothing of load or cancellations. */
+  /** A heartbeat without load, cancellations and silent machines. */
   public PeerHeartbeat(
       String node,
       long incarnation,
@@ -70,10 +77,17 @@
   }
 
   /**
-   * What vouches for the sender's word on cancellations: the number of its process's life; its
-   * steady clock as this left, and those of others as it last heard them; the revision up to which
-   * it has read the state service; the highest revision on which it has told any user of a
-   * cancellation; and all cancellations that it has told of from revisions above {@code above}.
+   * The cancellations that the sender has acknowledged to users, with what a receiver needs to
+   * judge up to which time it knows all of them.
+   *
+   * @param instanceId random number of the sender's process, or 0 if the report is empty
+   * @param sentAt the sender's monotonic clock when it sent the heartbeat
+   * @param echoes the newest heartbeats that the sender has received from other controllers
+   * @param readRevision the revision up to which the sender has read the state service
+   * @param highestRevision the highest revision of any cancellation that the sender has
+   *     acknowledged
+   * @param listedAbove all acknowledged cancellations of higher revisions than this are listed
+   * @param cancelledJobs the listed cancellations
    */
   public record CancellationReport(
       long instanceId,
@@ -87,34 +101,52 @@
         new CancellationReport(0, 0, List.of(), 0, 0, 0, List.of());
   }
 
-  /** The newest beat that the sender has had of another controller: its life, and its clock. */
+  /**
+   * The newest heartbeat that the sender has received from another controller: the instance that
+   * sent it and when, by that instance's clock.
+   */
   public record HeartbeatEcho(String node, long instanceId, long sentAt) {}
 
-  /** A job that a user was told is cancelled, and the revision that says so. */
+  /** A job whose cancellation was acknowledged to a user, and the revision that records it. */
   public record CancelledJob(String job, long revision) {}
 
   /**
-   * How many submissions a second the sender can accept, what is asked of it, and when those may
-   * come again that it refused of late.
+   * The sender's load of submissions.
+   *
+   * @param acceptRate submissions a second that the sender can accept
+   * @param classDemands demand of each traffic class at the sender
+   * @param retryReservations when submissions that the sender has refused recently may be retried
    */
   public record Load(
       double acceptRate, List<ClassDemand> classDemands, List<RetryReservation> retryReservations) {
     public static final Load NONE = new Load(0, List.of(), List.of());
   }
 
-  /** Submissions a second of one team's class, with those that were told to come again. */
+  /**
+   * Demand of one traffic class, in submissions a second, including those that were told to retry
+   * later.
+   */
   public record ClassDemand(String team, String jobclass, boolean prod, double demandRate) {}
 
   /**
-   * A job, by the hash of its id, whose turn is in so many milliseconds, or, without a turn, whose
-   * user comes again then.
+   * When a refused submission may be retried.
+   *
+   * @param jobHash hash of the job's id
+   * @param dueInMs milliseconds until it may be retried
+   * @param tentative whether it has only a retry time and no slot in which it is certain to be
+   *     admitted
    */
   public record RetryReservation(long jobHash, long dueInMs, boolean tentative) {}
 
   /**
-   * What the sender hears of another controller: for how many milliseconds it has been silent, the
-   * highest count of its refutations that the sender knows, whether the sender suspects it, or
-   * knows somebody who does at that count, and whether its connections are refused.
+   * What the sender observes of another controller.
+   *
+   * @param silentMs milliseconds since its last heartbeat
+   * @param refutations the highest number of its refutations that the sender knows
+   * @param suspected whether the sender suspects it
+   * @param suspectedByAny whether the sender or a controller that it trusts suspects it at that
+   *     number of refutations or a higher one
+   * @param refusesConnections whether it refuses connections of the sender
    */
   public record PeerObservation(
       String node,
--- a/src/main/java/dunlincroft/transport/PeerLink.java
+++ b/src/main/java/dunlincroft/transport/PeerLink.java
@@ -38,16 +38,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The back link: every controller keeps a connection to each other one and sends beats over it,
- * framed by length and written by Kryo with registered classes only. Nothing here decides whether
- * an act is safe.
+ * Connections between controllers: every controller keeps one to each of its peers and sends
+ * heartbeats over it, framed by length and encoded by Kryo with registered classes only. Nothing in
+ * this class decides whether an action is safe.
  */
 public final class PeerLink {
   private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
 
   /**
-   * Kryo's number of the beat's class. A new form gets a new number: frames of another version are
-   * refused, and its controllers are then judged by their holds and workers alone.
+   * Kryo registration number of the heartbeat. A changed encoding gets a new number: heartbeats of
+   * controllers of another version are rejected, and those controllers are then judged by their
+   * session leases and their workers alone.
    */
   private static final int HEARTBEAT_ID = 14;
 
@@ -57,11 +58,15 @@
   private final Consumer<PeerHeartbeat> heartbeatListener;
   private final ConnectionListener connectionListener;
 
-  /** Links that stand; all get their beats in the same turn, as each waking up has its price. */
+  /**
+   * Established outgoing connections. Heartbeats are sent to all of them at the same time, as each
+   * wake-up has a cost.
+   */
   private final Set<Channel> connections = new LinkedHashSet<>();
 
   /**
-   * Told whether a controller refuses connections: its process is gone, or a filter stands there.
+   * Notified after each attempt to connect whether the peer refused it: then its process has ended,
+   * or a packet filter rejects connections.
    */
   public interface ConnectionListener {
     void refusalChanged(String node, boolean refused);
@@ -159,7 +164,7 @@
             .toList());
   }
 
-  /** The version before sent none. */
+  /** Heartbeats of the previous version have no silent machines. */
   private static List<String> readSilentMachines(Input in) {
     return in.end() ? List.of() : Stream.generate(in::readString).limit(in.readInt()).toList();
   }
@@ -171,26 +176,26 @@
         PeerHeartbeat.class,
         new Serializer<PeerHeartbeat>() {
           @Override
-          public void write(Kryo k, Output out, PeerHeartbeat beat) {
-            out.writeString(beat.node());
-            out.writeLong(beat.incarnation());
-            out.writeLong(beat.stateSilentMs());
-            out.writeDouble(beat.requestDemand());
-            out.writeDouble(beat.writeDemand());
-            out.writeLong(beat.refutations());
-            out.writeInt(beat.observations().size());
-            for (PeerObservation hearing : beat.observations()) {
-              out.writeString(hearing.node());
-              out.writeLong(hearing.silentMs());
-              out.writeLong(hearing.refutations());
-              out.writeBoolean(hearing.suspected());
-              out.writeBoolean(hearing.suspectedByAny());
-              out.writeBoolean(hearing.refusesConnections());
+          public void write(Kryo k, Output out, PeerHeartbeat heartbeat) {
+            out.writeString(heartbeat.node());
+            out.writeLong(heartbeat.incarnation());
+            out.writeLong(heartbeat.stateSilentMs());
+            out.writeDouble(heartbeat.requestDemand());
+            out.writeDouble(heartbeat.writeDemand());
+            out.writeLong(heartbeat.refutations());
+            out.writeInt(heartbeat.observations().size());
+            for (PeerObservation observation : heartbeat.observations()) {
+              out.writeString(observation.node());
+              out.writeLong(observation.silentMs());
+              out.writeLong(observation.refutations());
+              out.writeBoolean(observation.suspected());
+              out.writeBoolean(observation.suspectedByAny());
+              out.writeBoolean(observation.refusesConnections());
             }
-            writeLoad(out, beat.load());
-            writeCancellations(out, beat.cancellations());
-            out.writeInt(beat.silentMachines().size());
-            beat.silentMachines().forEach(out::writeString);
+            writeLoad(out, heartbeat.load());
+            writeCancellations(out, heartbeat.cancellations());
+            out.writeInt(heartbeat.silentMachines().size());
+            heartbeat.silentMachines().forEach(out::writeString);
           }
 
           @Override
@@ -222,7 +227,10 @@
     return kryo.readObject(new Input(frame), PeerHeartbeat.class);
   }
 
-  /** Accepts the others' beats at {@code back} and begins to send ours, to each by its name. */
+  /**
+   * Starts to accept heartbeats at {@code listenAddress} and to send this controller's heartbeats
+   * to its peers, given by name.
+   */
   public Channel start(InetSocketAddress listenAddress, Map<String, InetSocketAddress> peers)
       throws InterruptedException {
     peers.forEach((node, address) -> connect(node, address));
@@ -266,14 +274,15 @@
                       && !(done.cause() instanceof ConnectTimeoutException);
               env.runLocked(() -> connectionListener.refusalChanged(node, refused));
               if (done.isSuccess()) {
-                Channel link = done.channel();
-                connections.add(link);
-                sendHeartbeat(List.of(link));
-                // Asked at once whether it is the connection that ended, or the process.
-                link.closeFuture()
+                Channel connection = done.channel();
+                connections.add(connection);
+                sendHeartbeat(List.of(connection));
+                // Reconnects soon to learn whether only the connection ended or the process.
+                connection
+                    .closeFuture()
                     .addListener(
                         closed -> {
-                          connections.remove(link);
+                          connections.remove(connection);
                           scheduleConnect(node, address, Constants.LINK_AGAIN_MS);
                         });
               } else {
@@ -293,7 +302,9 @@
           () -> {
             byte[] frame = encode(localHeartbeat.get());
             env.sendAfterUnlock(
-                () -> open.forEach(link -> link.writeAndFlush(Unpooled.wrappedBuffer(frame))));
+                () ->
+                    open.forEach(
+                        connection -> connection.writeAndFlush(Unpooled.wrappedBuffer(frame))));
           });
     }
   }
@@ -314,7 +325,7 @@
         PeerHeartbeat heartbeat = decode(ByteBufUtil.getBytes(msg));
         env.runLocked(() -> heartbeatListener.accept(heartbeat));
       } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
-        LOG.info("unreadable frame on the back link: {}", e.getMessage());
+        LOG.info("undecodable heartbeat frame from a peer: {}", e.getMessage());
         ctx.close();
       }
     }
--- a/src/main/java/dunlincroft/transport/RequestHandler.java
+++ b/src/main/java/dunlincroft/transport/RequestHandler.java
@@ -1,6 +1,6 @@
 package dunlincroft.transport;
 
-/** Takes the requests that a server receives. */
+/** Handles the requests that a server receives. */
 @FunctionalInterface
 public interface RequestHandler {
   void handle(String method, String path, byte[] body, Responder responder);
--- a/src/main/java/dunlincroft/transport/Responder.java
+++ b/src/main/java/dunlincroft/transport/Responder.java
@@ -1,8 +1,8 @@
 package dunlincroft.transport;
 
-/** Answers one request, once. */
+/** Sends the response to one request; to be called once. */
 @FunctionalInterface
 public interface Responder {
-  /** {@code retryAfterS} 0 leaves the header out. */
+  /** Sends the response; without a Retry-After header if {@code retryAfterS} is 0. */
   void send(int status, byte[] body, int retryAfterS);
 }
--- a/src/main/java/dunlincroft/transport/Sockets.java
+++ b/src/main/java/dunlincroft/transport/Sockets.java
@@ -10,27 +10,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The budget of connections, shared by purpose: the state service, the cloud and other controllers
- * always get one, then those who come to us, then our direct calls to workers. Idle ones are closed
- * in time, the least recently used first. Confined to the event loop.
+ * Limits the number of open connections, by purpose: those to the state service, the cloud provider
+ * and other controllers are always allowed; incoming connections come next, and direct calls to
+ * workers last. Connections that have been idle for long are closed, the least recently used first.
+ * Confined to the event loop.
  *
- * <p>Idle time is counted in sweeps, not by a clock: a process that stood still has let nobody
- * wait.
+ * <p>Idle time is counted in sweeps and not by a clock, so that a pause of this process does not
+ * count as idle time of its clients.
  */
 final class Sockets {
   private static final Logger LOG = LoggerFactory.getLogger(Sockets.class);
 
-  /** What a connection is for. */
+  /** Purpose of a connection. */
   enum Purpose {
-    /** To the state service or the cloud: never refused. */
+    /** To the state service or the cloud provider: never refused. */
     KEPT,
     /** From a user, a worker or a health check. */
     SERVED,
-    /** To a worker. */
+    /** To a worker, for direct orders. */
     ORDERS
   }
 
-  /** One connection, or an attempt at one. */
+  /** A connection or an attempt to connect. */
   final class Socket {
     private final Purpose purpose;
     private Channel channel;
@@ -41,7 +42,7 @@
       this.purpose = purpose;
     }
 
-    /** The attempt has become a connection, which counts until it is closed. */
+    /** The connection has been established; it counts until it is closed. */
     void attach(Channel connected) {
       channel = connected;
       connected.closeFuture().addListener(done -> markClosed());
@@ -59,7 +60,7 @@
       }
     }
 
-    /** It is closed, or the attempt has failed. */
+    /** The connection has been closed, or the attempt to connect has failed. */
     void markClosed() {
       if (isOpen) {
         isOpen = false;
@@ -86,8 +87,9 @@
   private int evicted;
 
   /**
-   * @param processLimit connections that the process may have, all together
-   * @param maxRequestGapS seconds between two requests of one that comes regularly, at the most
+   * @param processLimit connections that the process may have in all
+   * @param maxRequestGapS longest time in seconds between two requests of a client that sends them
+   *     regularly
    */
   Sockets(int processLimit, double maxRequestGapS) {
     maxOpen = Math.max(1, (int) (processLimit * Constants.SOCKETS_PART) - Constants.SOCKETS_KEPT);
@@ -104,27 +106,32 @@
     return (long) Math.ceil(seconds * 1000 / Constants.SOCKET_SWEEP_MS);
   }
 
-  /** Connections and attempts at present. */
-  int acquire() {
+  /** Number of connections and attempts to connect at present. */
+  int openCount() {
     return openCounts.values().stream().mapToInt(Integer::intValue).sum();
   }
 
-  /** Room for one more, made by closing idle ones if need be; null when there is none. */
+  /**
+   * Admits one more connection, after closing idle ones if necessary; null if the limit is reached.
+   */
   Socket acquire(Purpose purpose) {
     int bound = purpose == Purpose.ORDERS ? Math.min(maxOpenForOrders, maxOpen) : maxOpen;
-    while (acquire() >= bound && evict(purpose)) {
+    while (openCount() >= bound && evict(purpose)) {
       evicted++;
     }
-    if (acquire() >= bound && purpose != Purpose.KEPT) {
+    if (openCount() >= bound && purpose != Purpose.KEPT) {
       refused++;
       return null;
     }
     openCounts.merge(purpose, 1, Integer::sum);
-    peakOpen = Math.max(peakOpen, acquire());
+    peakOpen = Math.max(peakOpen, openCount());
     return new Socket(purpose);
   }
 
-  /** Closes the one that is missed least: an order can still go into the answer to a hello. */
+  /**
+   * Closes an idle connection, preferably one to a worker: its orders can also be sent in the
+   * answer to its next heartbeat.
+   */
   private boolean evict(Purpose purpose) {
     return closeIdle(Purpose.ORDERS, 0, 1) > 0
         || (purpose != Purpose.ORDERS && closeIdle(Purpose.SERVED, scarceIdleSweeps, 1) > 0);
@@ -143,13 +150,16 @@
     return closed;
   }
 
-  /** Closes what has been idle for long; called every {@link Constants#SOCKET_SWEEP_MS}. */
+  /**
+   * Closes connections that have been idle for long; called every {@link
+   * Constants#SOCKET_SWEEP_MS}.
+   */
   void sweep() {
     sweeps++;
     closeIdle(Purpose.ORDERS, sweepsIn(Constants.ORDERS_IDLE_S), Integer.MAX_VALUE);
     closeIdle(
         Purpose.SERVED,
-        acquire() >= maxOpenForOrders ? scarceIdleSweeps : servedIdleSweeps,
+        openCount() >= maxOpenForOrders ? scarceIdleSweeps : servedIdleSweeps,
         Integer.MAX_VALUE);
     if (sweeps % (Constants.FIGURES_MS / Constants.SOCKET_SWEEP_MS) == 0) {
       LOG.info(
@@ -160,7 +170,7 @@
           idleSockets.get(Purpose.ORDERS).size() + idleSockets.get(Purpose.SERVED).size(),
           refused,
           evicted);
-      peakOpen = acquire();
+      peakOpen = openCount();
       refused = 0;
       evicted = 0;
     }
--- a/src/test/java/dunlincroft/transport/LoopbackTest.java
+++ b/src/test/java/dunlincroft/transport/LoopbackTest.java
@@ -42,7 +42,7 @@
             (method, path, body, out) -> {
               switch (path) {
                 case "/echo" -> out.send(200, body, 0);
-                case "/fault" -> throw new IllegalStateException("a fault in a handler");
+                case "/fault" -> throw new IllegalStateException("a failing handler");
                 case "/silent" -> assertThat(method).isEqualTo("POST");
                 default -> out.send(404, new byte[0], 3);
               }
@@ -59,7 +59,9 @@
     channel.close().sync();
     assertThat(call(address, "/echo", new byte[3], 1000).status()).isIn(0, 200);
     Reply refused = call("127.0.0.1:1", "/echo", new byte[3], 1000);
-    assertThat(refused.mayBeExecuted()).as("a refused connection carries nothing").isFalse();
+    assertThat(refused.mayBeExecuted())
+        .as("no request is sent over a refused connection")
+        .isFalse();
   }
 
   @Property(seed = "5", tries = 100)
--- a/src/test/java/dunlincroft/transport/SocketsTest.java
+++ b/src/test/java/dunlincroft/transport/SocketsTest.java
@@ -33,13 +33,13 @@
     return open;
   }
 
-  private long openCount(Purpose purpose) {
+  private long liveConnections(Purpose purpose) {
     return all.stream().filter(o -> o.purpose == purpose && o.channel.isOpen()).count();
   }
 
   /**
-   * A fleet larger than the limit bears twice over: all workers that come are served, orders take
-   * what is left, and the state service always gets its connection.
+   * More machines than there are sockets for two connections each: all workers that connect are
+   * served, direct orders get what is left, and the state service always gets its connection.
    */
   @Test
   void incomingConnectionsGoBeforeOrdersAndTheStateServiceBeforeAll() {
@@ -50,17 +50,17 @@
     for (int i = 0; i < 1243 + 300; i++) {
       assertThat(open(sockets, Purpose.SERVED)).isNotNull();
     }
-    assertThat(openCount(Purpose.SERVED)).isEqualTo(1543);
-    assertThat(sockets.acquire()).isLessThan((int) (2157 * Constants.SOCKETS_PART));
+    assertThat(liveConnections(Purpose.SERVED)).isEqualTo(1543);
+    assertThat(sockets.openCount()).isLessThan((int) (2157 * Constants.SOCKETS_PART));
     while (open(sockets, Purpose.SERVED) != null) {
-      assertThat(sockets.acquire()).isLessThan(2157);
+      assertThat(sockets.openCount()).isLessThan(2157);
     }
-    assertThat(openCount(Purpose.ORDERS)).isZero();
+    assertThat(liveConnections(Purpose.ORDERS)).isZero();
     assertThat(open(sockets, Purpose.ORDERS)).isNull();
     assertThat(open(sockets, Purpose.KEPT)).isNotNull();
   }
 
-  /** Idle ones go in time; busy ones never do, and one without regular use is none to be missed. */
+  /** Idle connections are closed after their time limit, those in use or used regularly never. */
   @Test
   void idleConnectionsAreClosedInTimeAndBusyOnesNever() {
     Sockets sockets = new Sockets(100, MAX_REQUEST_GAP_S);
@@ -80,10 +80,10 @@
     assertThat(busy.channel.isOpen()).isTrue();
     assertThat(regular.channel.isOpen()).isTrue();
     assertThat(abandoned.channel.isOpen()).isFalse();
-    assertThat(sockets.acquire()).isEqualTo(2);
+    assertThat(sockets.openCount()).isEqualTo(2);
   }
 
-  /** Whatever comes and goes: the count is what is open, and never above the limit. */
+  /** The count equals the open connections after any sequence of events, and stays in the limit. */
   @Property(seed = "7", tries = 200)
   void countMatchesOpenConnections(
       @ForAll @Size(max = 400) List<@IntRange(max = 8) Integer> steps,
@@ -112,9 +112,9 @@
           }
         }
       }
-      assertThat(sockets.acquire())
-          .isEqualTo((int) (openCount(Purpose.ORDERS) + openCount(Purpose.SERVED)));
-      assertThat(sockets.acquire()).isLessThanOrEqualTo(limit - Constants.SOCKETS_KEPT);
+      assertThat(sockets.openCount())
+          .isEqualTo((int) (liveConnections(Purpose.ORDERS) + liveConnections(Purpose.SERVED)));
+      assertThat(sockets.openCount()).isLessThanOrEqualTo(limit - Constants.SOCKETS_KEPT);
     }
   }
 }
