--- a/src/main/java/dunlincroft/Rehearsal.java
+++ b/src/main/java/dunlincroft/ClassArchiveTraining.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dunlincroft.coordination.Controller;
-import dunlincroft.front.HttpFront;
+import dunlincroft.front.HttpApi;
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.MalformedException;
@@ -30,8 +30,8 @@
     name = "rehearse",
     hidden = true,
     description = "Loads what a start loads, for the class archive of the build.")
-final class Rehearsal implements Callable<Integer> {
-  private static final long CALL_MS = 2000;
+final class ClassArchiveTraining implements Callable<Integer> {
+  private static final long CALL_TIMEOUT_MS = 2000;
 
   private static final String SETTINGS =
       """
@@ -49,16 +49,16 @@
     NettyEnv env =
         new NettyEnv(SystemNanoClock.INSTANCE, SystemEpochClock.INSTANCE, settings.socketLimits());
     Controller controller = new Controller(settings, Policy.PRESET, env);
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    Channel server = new HttpServer(env, new HttpFront(controller)).listen(any);
+    InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    Channel server = new HttpServer(env, new HttpApi(controller)).listen(anyPort);
     PeerLink link =
         new PeerLink(
             env,
             controller::peerHeartbeat,
             controller::onPeerHeartbeat,
             controller::onConnectionRefusal);
-    Channel back = link.start(any, Map.of());
-    link.start(any, Map.of("n", (InetSocketAddress) back.localAddress()));
+    Channel peerServer = link.start(anyPort, Map.of());
+    link.start(anyPort, Map.of("n", (InetSocketAddress) peerServer.localAddress()));
     env.runLocked(controller::start);
     String address = "127.0.0.1:" + ((InetSocketAddress) server.localAddress()).getPort();
     ObjectNode job =
@@ -83,19 +83,22 @@
     CountDownLatch answered = new CountDownLatch(4);
     env.runLocked(
         () -> {
-          String one = Wire.SUBMISSIONS + "/run-1";
+          String jobPath = Wire.SUBMISSIONS + "/run-1";
           byte[] body = Cbor.bytes(job);
           env.call(
-              new Env.Call(address, "GET", Wire.READY, null, CALL_MS),
+              new Env.Call(address, "GET", Wire.READY, null, CALL_TIMEOUT_MS),
               reply -> answered.countDown());
-          env.call(new Env.Call(address, "GET", one, null, CALL_MS), reply -> answered.countDown());
           env.call(
-              new Env.Call(address, "POST", Wire.SUBMISSIONS, body, CALL_MS),
+              new Env.Call(address, "GET", jobPath, null, CALL_TIMEOUT_MS),
               reply -> answered.countDown());
           env.call(
-              new Env.Call(address, "POST", Wire.WORKER_HEARTBEAT, Cbor.bytes(report), CALL_MS),
+              new Env.Call(address, "POST", Wire.SUBMISSIONS, body, CALL_TIMEOUT_MS),
+              reply -> answered.countDown());
+          env.call(
+              new Env.Call(
+                  address, "POST", Wire.WORKER_HEARTBEAT, Cbor.bytes(report), CALL_TIMEOUT_MS),
               reply -> answered.countDown());
         });
-    return answered.await(5 * CALL_MS, TimeUnit.MILLISECONDS) ? 0 : 1;
+    return answered.await(5 * CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS) ? 0 : 1;
   }
 }
--- a/src/main/java/dunlincroft/Main.java
+++ b/src/main/java/dunlincroft/Main.java
@@ -1,7 +1,7 @@
 package dunlincroft;
 
 import dunlincroft.coordination.Controller;
-import dunlincroft.front.HttpFront;
+import dunlincroft.front.HttpApi;
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.MalformedException;
 import dunlincroft.transport.HttpServer;
@@ -36,10 +36,10 @@
       OperatorCommands.DocumentsCommand.class,
       OperatorCommands.CalendarCommand.class,
       OperatorCommands.MigrationCommand.class,
-      Rehearsal.class
+      ClassArchiveTraining.class
     })
 public final class Main implements Callable<Integer> {
-  private static final int FAULTY = 2;
+  private static final int EXIT_INVALID_SETTINGS = 2;
 
   @Option(names = "--config", description = "The platform's settings file (JSON).")
   private Path config;
@@ -65,43 +65,43 @@
 
     @Override
     public Integer call() {
-      Settings settings = read("settings", config, Settings::parse);
-      return settings == null || policy(operators) == null ? FAULTY : 0;
+      Settings settings = parseFile("settings", config, Settings::parse);
+      return settings == null || readPolicy(operators) == null ? EXIT_INVALID_SETTINGS : 0;
     }
   }
 
   public static void main(String[] args) {
-    logging();
-    CommandLine line = new CommandLine(new Main());
-    int code = line.execute(args);
-    if (code != 0 || !running) {
-      System.exit(code);
+    configureLogging();
+    CommandLine commandLine = new CommandLine(new Main());
+    int exitCode = commandLine.execute(args);
+    if (exitCode != 0 || !isRunning) {
+      System.exit(exitCode);
     }
   }
 
-  private static boolean running;
+  private static boolean isRunning;
 
   private interface Parser<T> {
     T parse(String text) throws MalformedException;
   }
 
-  private static <T> T read(String what, Path file, Parser<T> parser) {
+  private static <T> T parseFile(String description, Path file, Parser<T> parser) {
     try {
       return parser.parse(Files.readString(file));
     } catch (MalformedException e) {
-      System.err.println(what + " " + file + ": " + e.getMessage());
+      System.err.println(description + " " + file + ": " + e.getMessage());
     } catch (IOException e) {
-      System.err.println(what + " " + file + " cannot be read: " + e);
+      System.err.println(description + " " + file + " cannot be read: " + e);
     }
     return null;
   }
 
-  private static Policy policy(Path file) {
-    return file == null ? Policy.PRESET : read("operators' settings", file, Policy::parse);
+  private static Policy readPolicy(Path file) {
+    return file == null ? Policy.PRESET : parseFile("operators' settings", file, Policy::parse);
   }
 
   /** Must run before the first logger is made, even by a library that reads the settings. */
-  private static void logging() {
+  private static void configureLogging() {
     String level = System.getenv().getOrDefault("LOG_LEVEL", "info");
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
     System.setProperty("org.slf4j.simpleLogger.log.io.netty", "error");
@@ -116,10 +116,10 @@
     if (config == null) {
       throw new ParameterException(spec.commandLine(), "--config FILE is missing");
     }
-    Settings settings = read("settings", config, Settings::parse);
-    Policy policy = policy(operators);
+    Settings settings = parseFile("settings", config, Settings::parse);
+    Policy policy = readPolicy(operators);
     if (settings == null || policy == null) {
-      return FAULTY;
+      return EXIT_INVALID_SETTINGS;
     }
     Logger log = LoggerFactory.getLogger(Main.class);
     log.debug("settings: {}", settings);
@@ -127,16 +127,16 @@
         new NettyEnv(SystemNanoClock.INSTANCE, SystemEpochClock.INSTANCE, settings.socketLimits());
     Controller controller = new Controller(settings, policy, env);
     try {
-      new HttpServer(env, new HttpFront(controller)).listen(settings.listen());
-      Map<String, InetSocketAddress> others =
-          settings.others().stream()
-              .collect(Collectors.toMap(Settings.Peer::node, Settings.Peer::address));
+      new HttpServer(env, new HttpApi(controller)).listen(settings.listenAddress());
+      Map<String, InetSocketAddress> peers =
+          settings.peers().stream()
+              .collect(Collectors.toMap(Settings.Peer::nodeName, Settings.Peer::address));
       new PeerLink(
               env,
               controller::peerHeartbeat,
               controller::onPeerHeartbeat,
               controller::onConnectionRefusal)
-          .start(settings.back(), others);
+          .start(settings.peerListenAddress(), peers);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return 1;
@@ -147,8 +147,11 @@
     }
     env.runLocked(controller::start);
     log.info(
-        "node {} of site {} listens at {}", settings.node(), settings.site(), settings.listen());
-    running = true;
+        "node {} of site {} listens at {}",
+        settings.nodeName(),
+        settings.zone(),
+        settings.listenAddress());
+    isRunning = true;
     return 0;
   }
 }
--- a/src/main/java/dunlincroft/OperatorCommands.java
+++ b/src/main/java/dunlincroft/OperatorCommands.java
@@ -25,30 +25,30 @@
 
 /** Commands for operators' documents and what is made of them. */
 final class OperatorCommands {
-  private static final int FAULTY = 2;
-  private static final int FAILED = 1;
+  private static final int EXIT_INVALID_INPUT = 2;
+  private static final int EXIT_FAILED = 1;
 
   private OperatorCommands() {}
 
-  private interface Work {
+  private interface Action {
     void run()
         throws MalformedException, IOException, DocumentStore.Unreachable, DocumentStore.Conflict;
   }
 
   /** 0 when it went well, 2 for a fault in what was given, 1 for all else; faults go to stderr. */
-  private static int done(Work work) {
+  private static int exitCode(Action action) {
     try {
-      work.run();
+      action.run();
       return 0;
     } catch (MalformedException e) {
       System.err.println(e.getMessage());
-      return FAULTY;
+      return EXIT_INVALID_INPUT;
     } catch (IOException e) {
       System.err.println("cannot be read: " + e.getMessage());
-      return FAULTY;
+      return EXIT_INVALID_INPUT;
     } catch (DocumentStore.Unreachable | DocumentStore.Conflict e) {
       System.err.println(e.getMessage());
-      return FAILED;
+      return EXIT_FAILED;
     }
   }
 
@@ -63,7 +63,7 @@
   }
 
   /** What the commands that reach the state service have in common. */
-  abstract static class Reaching implements Callable<Integer> {
+  abstract static class StateServiceCommand implements Callable<Integer> {
     @Option(names = "--config", required = true, description = "The platform's settings file.")
     private Path config;
 
@@ -71,29 +71,31 @@
       return Settings.parse(Files.readString(config));
     }
 
-    RateLimitedStateClient service() throws MalformedException, IOException {
-      return new RateLimitedStateClient(settings().state());
+    RateLimitedStateClient stateClient() throws MalformedException, IOException {
+      return new RateLimitedStateClient(settings().stateEndpoint());
     }
 
-    DocumentStore store() throws MalformedException, IOException {
+    DocumentStore documentStore() throws MalformedException, IOException {
       Settings settings = settings();
       return new DocumentStore(
-          service(), (int) (settings.valueKb() * Constants.KIB), settings.txnOps());
+          stateClient(),
+          (int) (settings.maxValueKib() * Constants.BYTES_PER_KIB),
+          settings.maxTxnOps());
     }
 
-    abstract void work()
+    abstract void execute()
         throws MalformedException, IOException, DocumentStore.Unreachable, DocumentStore.Conflict;
 
     @Override
     public Integer call() {
-      return done(this::work);
+      return exitCode(this::execute);
     }
 
-    static Version named(List<Version> versions, String name, Long number)
+    static Version findVersion(List<Version> versions, String name, Long number)
         throws MalformedException {
       return versions.stream()
           .filter(each -> number == null || each.number() == number)
-          .reduce((a, b) -> b)
+          .reduce((first, second) -> second)
           .orElseThrow(
               () ->
                   new MalformedException(
@@ -125,7 +127,7 @@
 
     @Override
     public Integer call() {
-      return done(() -> check(name, Files.readString(file)));
+      return exitCode(() -> check(name, Files.readString(file)));
     }
   }
 
@@ -134,7 +136,7 @@
       name = "put",
       mixinStandardHelpOptions = true,
       description = "Checks a file and puts it as the newest version, at one change a second.")
-  static final class Put extends Reaching {
+  static final class Put extends StateServiceCommand {
     @Parameters(index = "0", description = "Name of the document.")
     private String name;
 
@@ -145,11 +147,11 @@
     private String by = System.getProperty("user.name", "");
 
     @Override
-    void work()
+    void execute()
         throws MalformedException, IOException, DocumentStore.Unreachable, DocumentStore.Conflict {
       String text = Files.readString(file);
       check(name, text);
-      long number = store().put(name, text, by, System.currentTimeMillis());
+      long number = documentStore().put(name, text, by, System.currentTimeMillis());
       System.out.println("version " + number + " of " + name);
     }
   }
@@ -159,7 +161,7 @@
       name = "show",
       mixinStandardHelpOptions = true,
       description = "Prints a version, the newest if none is named.")
-  static final class Show extends Reaching {
+  static final class Show extends StateServiceCommand {
     @Parameters(index = "0", description = "Name of the document.")
     private String name;
 
@@ -167,9 +169,9 @@
     private Long number;
 
     @Override
-    void work() throws MalformedException, IOException, DocumentStore.Unreachable {
-      DocumentStore store = store();
-      System.out.print(store.text(name, named(store.history(name), name, number)));
+    void execute() throws MalformedException, IOException, DocumentStore.Unreachable {
+      DocumentStore store = documentStore();
+      System.out.print(store.text(name, findVersion(store.history(name), name, number)));
     }
   }
 
@@ -178,13 +180,13 @@
       name = "history",
       mixinStandardHelpOptions = true,
       description = "Lists the versions that are kept.")
-  static final class History extends Reaching {
+  static final class History extends StateServiceCommand {
     @Parameters(index = "0", description = "Name of the document.")
     private String name;
 
     @Override
-    void work() throws MalformedException, IOException, DocumentStore.Unreachable {
-      for (Version version : store().history(name)) {
+    void execute() throws MalformedException, IOException, DocumentStore.Unreachable {
+      for (Version version : documentStore().history(name)) {
         System.out.println(
             version.number()
                 + " "
@@ -200,7 +202,7 @@
       name = "revert",
       mixinStandardHelpOptions = true,
       description = "Puts an earlier version again, as the newest one.")
-  static final class Revert extends Reaching {
+  static final class Revert extends StateServiceCommand {
     @Parameters(index = "0", description = "Name of the document.")
     private String name;
 
@@ -208,13 +210,13 @@
     private Long number;
 
     @Override
-    void work()
+    void execute()
         throws MalformedException, IOException, DocumentStore.Unreachable, DocumentStore.Conflict {
-      DocumentStore store = store();
-      String text = store.text(name, named(store.history(name), name, number));
+      DocumentStore store = documentStore();
+      String text = store.text(name, findVersion(store.history(name), name, number));
       check(name, text);
-      long put = store.put(name, text, "revert to " + number, System.currentTimeMillis());
-      System.out.println("version " + put + " of " + name);
+      long newNumber = store.put(name, text, "revert to " + number, System.currentTimeMillis());
+      System.out.println("version " + newNumber + " of " + name);
     }
   }
 
@@ -243,7 +245,7 @@
 
     @Override
     public Integer call() {
-      return done(
+      return exitCode(
           () -> Plan.parse(Files.readString(file)).lines(from, to).forEach(System.out::println));
     }
   }
@@ -261,7 +263,7 @@
       name = "ask",
       mixinStandardHelpOptions = true,
       description = "Asks for start, pause, resume or back; the leader carries it out.")
-  static final class MigrationAsk extends Reaching {
+  static final class MigrationAsk extends StateServiceCommand {
     @Parameters(index = "0", description = "start, pause, resume or back.")
     private MigrationLedger.Ask ask;
 
@@ -272,10 +274,10 @@
     private String by = System.getProperty("user.name", "");
 
     @Override
-    void work()
+    void execute()
         throws MalformedException, IOException, DocumentStore.Unreachable, DocumentStore.Conflict {
       String key = MigrationLedger.askKey(workload);
-      store().create(workload, key, Cbor.map().put("ask", ask.name()).put("by", by));
+      documentStore().create(workload, key, Cbor.map().put("ask", ask.name()).put("by", by));
       System.out.println("asked; see: migration history " + workload);
     }
   }
@@ -285,11 +287,11 @@
       name = "status",
       mixinStandardHelpOptions = true,
       description = "Prints where each workload stands.")
-  static final class MigrationStatus extends Reaching {
+  static final class MigrationStatus extends StateServiceCommand {
     @Override
-    void work() throws MalformedException, IOException, DocumentStore.Unreachable {
-      print(
-          service(),
+    void execute() throws MalformedException, IOException, DocumentStore.Unreachable {
+      printRecords(
+          stateClient(),
           Wire.key(Replica.MIGRATIONS, ""),
           record ->
               record.path("phase").asText()
@@ -306,14 +308,14 @@
       name = "history",
       mixinStandardHelpOptions = true,
       description = "Prints every step of a workload, with who asked for it.")
-  static final class MigrationHistory extends Reaching {
+  static final class MigrationHistory extends StateServiceCommand {
     @Parameters(index = "0", description = "Name of the workload.")
     private String workload;
 
     @Override
-    void work() throws MalformedException, IOException, DocumentStore.Unreachable {
-      print(
-          service(),
+    void execute() throws MalformedException, IOException, DocumentStore.Unreachable {
+      printRecords(
+          stateClient(),
           Wire.key(Replica.MIGRATION_HISTORY, workload + "/"),
           record ->
               Instant.ofEpochMilli(record.path("at").asLong())
@@ -326,16 +328,17 @@
     }
   }
 
-  private static void print(
-      RateLimitedStateClient service, String under, Function<JsonNode, String> line)
+  private static void printRecords(
+      RateLimitedStateClient stateClient, String prefix, Function<JsonNode, String> formatter)
       throws DocumentStore.Unreachable {
     DocumentStore.Answer answer =
-        service.call("GET", Wire.KEYS + "?under=" + under + "&most=" + Constants.KEY_PAGE, null);
+        stateClient.call(
+            "GET", Wire.KEYS + "?under=" + prefix + "&most=" + Constants.KEY_PAGE_ENTRIES, null);
     for (JsonNode item : answer.body().path("items")) {
       System.out.println(
-          item.path("key").asText().substring(under.length())
+          item.path("key").asText().substring(prefix.length())
               + " "
-              + line.apply(item.path("data")));
+              + formatter.apply(item.path("data")));
     }
   }
 
@@ -344,11 +347,11 @@
       name = "status",
       mixinStandardHelpOptions = true,
       description = "Prints the nights that the controllers share, with their phases.")
-  static final class Status extends Reaching {
+  static final class Status extends StateServiceCommand {
     @Override
-    void work() throws MalformedException, IOException, DocumentStore.Unreachable {
-      print(
-          service(),
+    void execute() throws MalformedException, IOException, DocumentStore.Unreachable {
+      printRecords(
+          stateClient(),
           Wire.key(Replica.NIGHTS, ""),
           night ->
               night.path("phase").asText()
--- a/src/main/java/dunlincroft/Settings.java
+++ b/src/main/java/dunlincroft/Settings.java
@@ -17,30 +17,30 @@
 
 /** The platform's settings file, checked. Unknown fields are ignored. */
 public record Settings(
-    String node,
-    String site,
-    InetSocketAddress listen,
-    InetSocketAddress back,
-    List<Peer> others,
-    String cloud,
-    String state,
+    String nodeName,
+    String zone,
+    InetSocketAddress listenAddress,
+    InetSocketAddress peerListenAddress,
+    List<Peer> peers,
+    String cloudEndpoint,
+    String stateEndpoint,
     Map<String, Team> teams,
-    List<Hope> hopes,
-    double reportS,
-    double leaseS,
-    double cancelS,
+    List<Objective> objectives,
+    double reportIntervalS,
+    double workerLeaseS,
+    double maxCancellationS,
     double stateRps,
     double stateWriteRps,
-    double valueKb,
-    int txnOps,
+    double maxValueKib,
+    int maxTxnOps,
     double cloudRps,
-    double listLagS,
+    double machineListLagS,
     double memoryMb,
-    int sockets,
-    double clockOffMs) {
+    int maxSockets,
+    double maxClockOffsetMs) {
 
   /** Another controller; its zone is empty where the settings do not tell. */
-  public record Peer(String node, String site, InetSocketAddress address) {}
+  public record Peer(String nodeName, String zone, InetSocketAddress address) {}
 
   /** A team's guarantee and limit. */
   public record Team(String name, Resources guarantee, Resources limit) {}
@@ -52,10 +52,11 @@
    * without a guarantee, or where nobody has one, a small part of all.
    */
   public double weight(String team) {
-    double all = teams.values().stream().mapToDouble(each -> each.guarantee().cpu()).sum();
-    Team mine = teams.get(team);
-    double own = mine == null ? 0 : mine.guarantee().cpu();
-    return all == 0 ? 1 : Math.max(own / all, Constants.GUEST_WEIGHT);
+    double guaranteedCpu =
+        teams.values().stream().mapToDouble(each -> each.guarantee().cpu()).sum();
+    Team settings = teams.get(team);
+    double teamCpu = settings == null ? 0 : settings.guarantee().cpu();
+    return guaranteedCpu == 0 ? 1 : Math.max(teamCpu / guaranteedCpu, Constants.MIN_TEAM_WEIGHT);
   }
 
   public static Settings parse(String json) throws MalformedException {
@@ -69,22 +70,22 @@
               + ", column "
               + e.getLocation().getColumnNr());
     }
-    JsonNode endpoints = map(root, "", "endpoints");
-    JsonNode deployment = map(root, "", "deployment");
-    JsonNode workers = map(deployment, "deployment.", "workers");
-    JsonNode state = map(deployment, "deployment.", "state");
-    JsonNode cloud = map(deployment, "deployment.", "cloud");
-    List<Peer> others = new ArrayList<>();
-    for (JsonNode other : in("", () -> Fields.list(root, "others"))) {
-      others.add(
+    JsonNode endpoints = object(root, "", "endpoints");
+    JsonNode deployment = object(root, "", "deployment");
+    JsonNode workers = object(deployment, "deployment.", "workers");
+    JsonNode state = object(deployment, "deployment.", "state");
+    JsonNode cloud = object(deployment, "deployment.", "cloud");
+    List<Peer> peers = new ArrayList<>();
+    for (JsonNode peer : withPath("", () -> Fields.list(root, "others"))) {
+      peers.add(
           new Peer(
-              in("others.", () -> Fields.text(other, "node_name")),
-              other.path("site").asText(),
-              address(other, "others.", "address")));
+              withPath("others.", () -> Fields.text(peer, "node_name")),
+              peer.path("site").asText(),
+              address(peer, "others.", "address")));
     }
     Map<String, Team> teams = new LinkedHashMap<>();
-    for (JsonNode team : in("deployment.", () -> Fields.list(deployment, "teams"))) {
-      in(
+    for (JsonNode team : withPath("deployment.", () -> Fields.list(deployment, "teams"))) {
+      withPath(
           "deployment.teams.",
           () -> {
             String name = Fields.text(team, "name");
@@ -92,92 +93,93 @@
                 Resources.roundedDown(
                     Fields.amountOr(team, "cpus", 0), Fields.amountOr(team, "gpus", 0), NO_LIMIT);
             Resources limit =
-                Resources.roundedDown(limit(team, "cpus_max"), limit(team, "gpus_max"), NO_LIMIT);
+                Resources.roundedDown(
+                    limitOrNone(team, "cpus_max"), limitOrNone(team, "gpus_max"), NO_LIMIT);
             return teams.put(name, new Team(name, guarantee, limit));
           });
     }
     return new Settings(
-        in("", () -> Fields.text(root, "node_name")),
-        in("", () -> Fields.text(root, "site")),
+        withPath("", () -> Fields.text(root, "node_name")),
+        withPath("", () -> Fields.text(root, "site")),
         address(root, "", "listen"),
         address(root, "", "back"),
-        others,
-        text(address(endpoints, "endpoints.", "cloud")),
-        text(address(endpoints, "endpoints.", "state")),
+        peers,
+        hostAndPort(address(endpoints, "endpoints.", "cloud")),
+        hostAndPort(address(endpoints, "endpoints.", "state")),
         teams,
-        in("deployment.objectives.", () -> hopes(deployment)),
+        withPath("deployment.objectives.", () -> objectives(deployment)),
         positive(workers, "deployment.workers.", "report_s"),
         positive(workers, "deployment.workers.", "lease_s"),
         positive(workers, "deployment.workers.", "cancel_s"),
         positive(state, "deployment.state.", "rps"),
         positive(state, "deployment.state.", "write_rps"),
         positive(state, "deployment.state.", "value_kb"),
-        txnOps(state),
+        maxTxnOps(state),
         positive(cloud, "deployment.cloud.", "rps"),
         positive(cloud, "deployment.cloud.", "list_lag_s"),
-        machineLimit(deployment, "memory_mb", Constants.MEMORY_MB),
-        (int) machineLimit(deployment, "max_sockets", Constants.SOCKETS),
-        in(
+        machineLimit(deployment, "memory_mb", Constants.DEFAULT_MEMORY_MB),
+        (int) machineLimit(deployment, "max_sockets", Constants.DEFAULT_MAX_SOCKETS),
+        withPath(
             "deployment.",
-            () -> Fields.amountOr(deployment, "clock_off_ms", Constants.CLOCK_OFF_MS)));
+            () -> Fields.amountOr(deployment, "clock_off_ms", Constants.DEFAULT_CLOCK_OFFSET_MS)));
   }
 
   /** The end of a job must fit into one transaction: with less it would be tried for ever. */
-  private static int txnOps(JsonNode state) throws MalformedException {
+  private static int maxTxnOps(JsonNode state) throws MalformedException {
     double ops = positive(state, "deployment.state.", "txn_ops");
-    if (ops < Constants.END_OPS) {
+    if (ops < Constants.JOB_END_OPS) {
       throw new MalformedException(
-          "deployment.state.txn_ops must be at least " + Constants.END_OPS);
+          "deployment.state.txn_ops must be at least " + Constants.JOB_END_OPS);
     }
     return (int) ops;
   }
 
-  private static double machineLimit(JsonNode deployment, String field, double preset)
+  private static double machineLimit(JsonNode deployment, String field, double defaultValue)
       throws MalformedException {
     if (Fields.isAbsent(deployment, "machine_limits")) {
-      return preset;
+      return defaultValue;
     }
-    JsonNode limits = map(deployment, "deployment.", "machine_limits");
+    JsonNode limits = object(deployment, "deployment.", "machine_limits");
     return Fields.isAbsent(limits, field)
-        ? preset
+        ? defaultValue
         : positive(limits, "deployment.machine_limits.", field);
   }
 
   /** 0 means that there is no limit. */
-  private static double limit(JsonNode team, String field) throws MalformedException {
+  private static double limitOrNone(JsonNode team, String field) throws MalformedException {
     double limit = Fields.amountOr(team, field, 0);
     return limit == 0 ? NO_LIMIT : limit;
   }
 
   /** What the operators hope for of a class: all of a job's tasks done within this, in seconds. */
-  public record Hope(String jobclass, double withinS) {}
+  public record Objective(String jobclass, double completeWithinS) {}
 
-  private static List<Hope> hopes(JsonNode deployment) throws MalformedException {
-    List<Hope> hopes = new ArrayList<>();
+  private static List<Objective> objectives(JsonNode deployment) throws MalformedException {
+    List<Objective> hopes = new ArrayList<>();
     if (!Fields.isAbsent(deployment, "objectives")) {
       for (JsonNode objective : Fields.list(deployment, "objectives")) {
         if ("finished".equals(Fields.text(objective, "kind"))) {
           hopes.add(
-              new Hope(Fields.text(objective, "class"), Fields.amount(objective, "within_s")));
+              new Objective(Fields.text(objective, "class"), Fields.amount(objective, "within_s")));
         }
       }
     }
     return hopes;
   }
 
-  private interface Read<T> {
+  private interface FieldReader<T> {
     T get() throws MalformedException;
   }
 
-  private static <T> T in(String path, Read<T> read) throws MalformedException {
+  private static <T> T withPath(String path, FieldReader<T> reader) throws MalformedException {
     try {
-      return read.get();
+      return reader.get();
     } catch (MalformedException e) {
       throw new MalformedException(path + e.getMessage());
     }
   }
 
-  private static JsonNode map(JsonNode parent, String path, String field)
+  private static JsonNode object(JsonNode parent, String path, String field)
       throws MalformedException {
     JsonNode node = parent == null ? null : parent.get(field);
     if (node == null || !node.isObject()) {
@@ -186,9 +188,9 @@
     return node;
   }
 
-  private static InetSocketAddress address(JsonNode map, String path, String field)
+  private static InetSocketAddress address(JsonNode parent, String path, String field)
       throws MalformedException {
-    String text = in(path, () -> Fields.text(map, field));
+    String text = withPath(path, () -> Fields.text(parent, field));
     try {
       return Addresses.parse(text);
     } catch (IllegalArgumentException e) {
@@ -196,13 +198,13 @@
     }
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String hostAndPort(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  private static double positive(JsonNode map, String path, String field)
+  private static double positive(JsonNode parent, String path, String field)
       throws MalformedException {
-    double value = in(path, () -> Fields.amount(map, field));
+    double value = withPath(path, () -> Fields.amount(parent, field));
     if (value <= 0) {
       throw new MalformedException(path + field + " must be above 0");
     }
@@ -212,34 +214,36 @@
   /** What connections the process may have, and who always gets one. */
   public NettyEnv.SocketLimits socketLimits() {
     return new NettyEnv.SocketLimits(
-        sockets, reportS * Constants.REPORT_LATEST, Set.copyOf(List.of(state, cloud)));
+        maxSockets,
+        reportIntervalS * Constants.MAX_REPORT_INTERVAL_FACTOR,
+        Set.copyOf(List.of(stateEndpoint, cloudEndpoint)));
   }
 
   /** Characters of one slot of a shard's log. */
-  public int logBytes() {
-    return Math.min(Constants.LOG_BYTES, (int) (valueKb * 1024 * 0.95) - 16);
+  public int logSlotBytes() {
+    return Math.min(Constants.MAX_LOG_SLOT_BYTES, (int) (maxValueKib * 1024 * 0.95) - 16);
   }
 
   /** Slots of a shard's log in use before pages are written. */
   public int logSlots() {
-    return Math.max(2, (int) (memoryMb * Constants.LOG_BYTES_PER_MB) / logBytes());
+    return Math.max(2, (int) (memoryMb * Constants.SHARD_LOG_BYTES_PER_MB) / logSlotBytes());
   }
 
   /**
    * Tasks of one entry that is sure to fit into a slot, with the longest id that a job may have.
    */
-  public int logTasks() {
-    return Math.max(1, (logBytes() - 250) / Constants.PAGE_ENTRY_BYTES);
+  public int maxTasksPerLogEntry() {
+    return Math.max(1, (logSlotBytes() - 250) / Constants.MAX_PAGE_ENTRY_BYTES);
   }
 
   /** Machines of one block, so that the block fits a value: one rental's at the most. */
-  public int blockMachines() {
-    int fit = (int) (valueKb * 1024 / Constants.BLOCK_ENTRY_BYTES) - 4;
-    return Math.max(1, Math.min(Constants.MAX_HIRE, fit));
+  public int machinesPerBlock() {
+    int fitting = (int) (maxValueKib * 1024 / Constants.MAX_BLOCK_ENTRY_BYTES) - 4;
+    return Math.max(1, Math.min(Constants.MAX_RENTAL_MACHINES, fitting));
   }
 
   /** Tasks of one page of a job's record, so that the page fits a value whatever happens. */
-  public int pageTasks() {
-    return Math.max(1, (int) (valueKb * 1024 / Constants.PAGE_ENTRY_BYTES));
+  public int tasksPerPage() {
+    return Math.max(1, (int) (maxValueKib * 1024 / Constants.MAX_PAGE_ENTRY_BYTES));
   }
 }
--- a/src/main/java/dunlincroft/admission/Admission.java
+++ b/src/main/java/dunlincroft/admission/Admission.java
@@ -113,22 +113,24 @@
         (trafficClass, state) -> {
           double demanded =
               Math.max(
-                  state.requestRate, state.pendingRetries / (double) Constants.RETRY_AFTER_MOST_S);
-          if (demanded > Constants.ASKED_LEAST) {
+                  state.requestRate,
+                  state.pendingRetries / (double) Constants.MAX_RETRY_SLOT_DELAY_S);
+          if (demanded > Constants.MIN_SUBMISSIONS_PER_S) {
             classes.add(
                 new ClassDemand(
                     trafficClass.team(), trafficClass.jobclass(), trafficClass.prod(), demanded));
           }
         });
     classes.sort(Comparator.comparingDouble(ClassDemand::demandRate).reversed());
-    if (classes.size() <= Constants.BEAT_FLOWS) {
+    if (classes.size() <= Constants.HEARTBEAT_TRAFFIC_CLASSES) {
       return classes;
     }
-    List<ClassDemand> reported = new ArrayList<>(classes.subList(0, Constants.BEAT_FLOWS));
+    List<ClassDemand> reported =
+        new ArrayList<>(classes.subList(0, Constants.HEARTBEAT_TRAFFIC_CLASSES));
     for (boolean prod : new boolean[] {true, false}) {
       double remainder =
           classes.stream()
-              .skip(Constants.BEAT_FLOWS)
+              .skip(Constants.HEARTBEAT_TRAFFIC_CLASSES)
               .filter(trafficClass -> trafficClass.prod() == prod)
               .mapToDouble(ClassDemand::demandRate)
               .sum();
@@ -144,7 +146,7 @@
    */
   public void tick(double acceptsPerSecond, long nowMs) {
     double seconds = Math.max(0.001, (nowMs - tickedAt) / 1000.0);
-    double decay = Math.exp(-seconds / Constants.ASKED_S);
+    double decay = Math.exp(-seconds / Constants.SUBMISSION_RATE_SMOOTHING_S);
     tickedAt = nowMs;
     localCapacity = acceptsPerSecond;
     states
@@ -160,10 +162,9 @@
               // Users that did not retry at their slot have given up or were served by another
               // controller.
               state.pendingRetries =
-                  state.reservedUntil + Constants.PROMISE_LATE_MS < nowMs
-                      ? 0
-                      : state.pendingRetries;
-              return state.requestRate < Constants.ASKED_LEAST / 10 && state.pendingRetries == 0;
+                  state.reservedUntil + Constants.RETRY_LATE_MS < nowMs ? 0 : state.pendingRetries;
+              return state.requestRate < Constants.MIN_SUBMISSIONS_PER_S / 10
+                  && state.pendingRetries == 0;
             });
     snapshot.expire(nowMs);
     reservations.expire(nowMs);
@@ -209,14 +210,14 @@
     long due = reservations.dueAt(id);
     boolean hasReservation = due >= 0;
     if (hasReservation
-        && nowMs + Constants.PROMISE_EARLY_MS >= due
+        && nowMs + Constants.RETRY_EARLY_MS >= due
         && !reservations.isTentative(id)) {
       return admit(state);
     }
     if (!hasReservation) {
       state.arrivals++;
     }
-    boolean isOverBudget = waitMs > Constants.ANSWER_MS;
+    boolean isOverBudget = waitMs > Constants.MAX_SUBMISSION_WAIT_MS;
     if (isOverBudget) {
       overloadedAt = nowMs;
     }
@@ -224,7 +225,8 @@
     // The first half of the acceptable wait is open to every class that is within its planned rate,
     // so that capacity is not wasted and a short burst is not refused. The second half is kept for
     // submissions that come at their slot.
-    if (!isOverloaded || (waitMs <= Constants.ANSWER_MS / 2 && isWithinPlan(trafficClass, state))) {
+    if (!isOverloaded
+        || (waitMs <= Constants.MAX_SUBMISSION_WAIT_MS / 2 && isWithinPlan(trafficClass, state))) {
       if (isOverloaded && !hasReservation) {
         state.reservedUntil = Math.max(state.reservedUntil, nowMs) + 1000 / rate(trafficClass);
       }
@@ -237,12 +239,12 @@
     if (hasReservation && !reservations.isTentative(id)) {
       return refuse(trafficClass, state, due, nowMs);
     }
-    if (++deferredSincePlan >= Constants.PLAN_AFTER) {
+    if (++deferredSincePlan >= Constants.REPLAN_AFTER_DEFERRALS) {
       replan(nowMs);
     }
     double slot = Math.max(state.reservedUntil, nowMs) + 1000 / rate(trafficClass);
-    double latest = nowMs + 1000.0 * Constants.RETRY_AFTER_MOST_S;
-    if (slot > (hasReservation ? latest : latest - Constants.LINE_KEPT_MS)) {
+    double latest = nowMs + 1000.0 * Constants.MAX_RETRY_SLOT_DELAY_S;
+    if (slot > (hasReservation ? latest : latest - Constants.RETRY_SLOT_RESERVE_MS)) {
       reservations.reserve(id, (long) latest, true, nowMs);
       return refuse(trafficClass, state, (long) latest, nowMs);
     }
@@ -287,15 +289,16 @@
             : evenShare;
     long backloggedClasses =
         states.values().stream().filter(state -> state.pendingRetries > 0).count();
-    double minRate = localCapacity * Constants.LINES_PART / Math.max(1, backloggedClasses);
+    double minRate =
+        localCapacity * Constants.MIN_SLOT_RATE_FRACTION / Math.max(1, backloggedClasses);
     // While the plan leaves much of the demand unserved, slots advance at the planned rate. A
     // higher rate would use up the capacity that is guaranteed to the other classes.
     double classRate =
-        plan.rate(trafficClass) < Constants.SHORT_OF_DEMAND * totalDemand
+        plan.rate(trafficClass) < Constants.UNDERSERVED_DEMAND_FRACTION * totalDemand
             ? plan.rate(trafficClass)
             : saturatedRates.computeIfAbsent(trafficClass, this::saturatedRate);
     double localPart = Math.min(localCapacity, scale * localShare * classRate);
-    return Math.max(Math.max(minRate, Constants.ASKED_LEAST), localPart);
+    return Math.max(Math.max(minRate, Constants.MIN_SUBMISSIONS_PER_S), localPart);
   }
 
   private double saturatedRate(TrafficClass trafficClass) {
@@ -312,8 +315,9 @@
       TrafficClass trafficClass, ClassState state, long dueMs, long nowMs) {
     state.refused++;
     int seconds = (int) Math.ceil((dueMs - nowMs) / 1000.0);
-    int maxSeconds = trafficClass.prod() ? Constants.LOOK_IN_SERVICE_S : Constants.LOOK_IN_S;
-    return new Verdict(false, Math.max(Constants.RETRY_AFTER_S, Math.min(maxSeconds, seconds)));
+    int maxSeconds =
+        trafficClass.prod() ? Constants.MAX_SERVICE_RETRY_AFTER_S : Constants.MAX_RETRY_AFTER_S;
+    return new Verdict(false, Math.max(Constants.MIN_RETRY_AFTER_S, Math.min(maxSeconds, seconds)));
   }
 
   /**
@@ -326,7 +330,7 @@
     state.admitted--;
     long id = Hashing.of(job);
     if (reservations.dueAt(id) < 0) {
-      reservations.reserve(id, nowMs + 1000L * Constants.RETRY_AFTER_S, false, nowMs);
+      reservations.reserve(id, nowMs + 1000L * Constants.MIN_RETRY_AFTER_S, false, nowMs);
       state.pendingRetries++;
     }
     return refuse(trafficClass, state, nowMs, nowMs).retryAfterS;
--- a/src/main/java/dunlincroft/admission/LoadSnapshot.java
+++ b/src/main/java/dunlincroft/admission/LoadSnapshot.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 
 /**
- * The loads that all controllers reported within the last {@link Constants#PICTURE_MS}. A
+ * The loads that all controllers reported within the last {@link Constants#LOAD_REPORT_TTL_MS}. A
  * controller that is not heard does not count, so each side of a network partition distributes only
  * its own capacity.
  */
@@ -23,7 +23,7 @@
   }
 
   void expire(long nowMs) {
-    reports.values().removeIf(each -> nowMs - each.receivedMs > Constants.PICTURE_MS);
+    reports.values().removeIf(each -> nowMs - each.receivedMs > Constants.LOAD_REPORT_TTL_MS);
   }
 
   /** Drops all reports after a pause of this process: they are out of date until received again. */
--- a/src/main/java/dunlincroft/admission/Plan.java
+++ b/src/main/java/dunlincroft/admission/Plan.java
@@ -59,7 +59,7 @@
     double[] guarantees = new double[unmet.length];
     double sum = 0;
     for (int i = 0; i < unmet.length; i++) {
-      guarantees[i] = Constants.ADMISSION_SERVED * unmet[i];
+      guarantees[i] = Constants.GUARANTEED_DEMAND_FRACTION * unmet[i];
       sum += guarantees[i];
     }
     double[] granted = weightedMaxMin(guaranteedCapacity(sum, capacity), guarantees, equalWeights);
@@ -84,7 +84,8 @@
    */
   private static double guaranteedCapacity(double sum, double capacity) {
     double excess = Math.max(0, sum - capacity);
-    return Math.min(sum, Math.max(Constants.ADMISSION_FLOOR * capacity, capacity - excess));
+    return Math.min(
+        sum, Math.max(Constants.GUARANTEED_CAPACITY_FRACTION * capacity, capacity - excess));
   }
 
   /** Shares capacity among the classes of one rank; returns how much they were granted. */
--- a/src/main/java/dunlincroft/admission/RetryReservations.java
+++ b/src/main/java/dunlincroft/admission/RetryReservations.java
@@ -38,7 +38,7 @@
     discard(job);
     store(job, dueMs, withoutSlot);
     announcements.addLast(new Announcement(job, dueMs, withoutSlot, nowMs));
-    if (announcements.size() > Constants.BEAT_PROMISES) {
+    if (announcements.size() > Constants.HEARTBEAT_RETRY_RESERVATIONS) {
       announcements.removeFirst();
     }
   }
@@ -54,7 +54,7 @@
       } else {
         tentative.remove(job);
       }
-      if (dueAt.size() > Constants.PROMISES) {
+      if (dueAt.size() > Constants.MAX_RETRY_RESERVATIONS) {
         discard(dueAt.firstLongKey());
       }
     }
@@ -73,7 +73,7 @@
   /** Drops reservations whose users have given up by now. */
   void expire(long nowMs) {
     while (!dueAt.isEmpty()
-        && dueAt.get(dueAt.firstLongKey()) + Constants.PROMISE_KEPT_MS < nowMs) {
+        && dueAt.get(dueAt.firstLongKey()) + Constants.RETRY_RESERVATION_TTL_MS < nowMs) {
       discard(dueAt.firstLongKey());
     }
   }
@@ -84,7 +84,7 @@
    */
   List<RetryReservation> announced(long nowMs) {
     while (!announcements.isEmpty()
-        && announcements.peekFirst().madeMs + Constants.PROMISE_TOLD_MS < nowMs) {
+        && announcements.peekFirst().madeMs + Constants.RETRY_RESERVATION_ANNOUNCE_MS < nowMs) {
       announcements.removeFirst();
     }
     List<RetryReservation> result = new ArrayList<>(announcements.size());
--- a/src/main/java/dunlincroft/bookkeeping/ChangeFeed.java
+++ b/src/main/java/dunlincroft/bookkeeping/ChangeFeed.java
@@ -32,7 +32,7 @@
   private boolean barrierInFlight;
   private boolean barrierScheduled;
   private long lastBarrierAt;
-  private long watchPauseMs = Constants.WATCH_CALM_MS;
+  private long watchPauseMs = Constants.STANDBY_WATCH_PAUSE_MS;
 
   public ChangeFeed(Env env, StateStore store, Replica replica, Runnable onSynced) {
     this.env = env;
@@ -128,7 +128,7 @@
             return;
           }
           boolean ok = apply(answer, requestedAt);
-          env.after(ok ? watchPauseMs : Constants.WATCH_CALM_MS, this::watch);
+          env.after(ok ? watchPauseMs : Constants.STANDBY_WATCH_PAUSE_MS, this::watch);
         });
   }
 
@@ -174,7 +174,7 @@
       return;
     }
     barrierScheduled = true;
-    long delay = Math.max(0, lastBarrierAt + Constants.BARRIER_PAUSE_MS - env.nowMillis());
+    long delay = Math.max(0, lastBarrierAt + Constants.READ_BARRIER_PAUSE_MS - env.nowMillis());
     env.after(
         delay,
         () -> {
--- a/src/main/java/dunlincroft/bookkeeping/Replica.java
+++ b/src/main/java/dunlincroft/bookkeeping/Replica.java
@@ -172,7 +172,7 @@
     Item known = itemsOfKind.get(name);
     if (known == null || known.stamp < item.stamp) {
       itemsOfKind.put(name, item);
-      if (kind.equals(ENDED) && itemsOfKind.size() > Constants.ENDED_IN_MEMORY) {
+      if (kind.equals(ENDED) && itemsOfKind.size() > Constants.MAX_ENDED_JOBS_IN_MEMORY) {
         itemsOfKind.removeFirst();
         finalStatesEvicted = true;
       }
--- a/src/main/java/dunlincroft/bookkeeping/StateStore.java
+++ b/src/main/java/dunlincroft/bookkeeping/StateStore.java
@@ -113,12 +113,12 @@
     this.env = env;
     this.dispatcher = new DeferredTask(env, this::dispatch);
     this.address = address;
-    this.rps = rps * Constants.BUDGET_PART;
-    this.writeRps = writeRps * Constants.BUDGET_PART;
+    this.rps = rps * Constants.USABLE_RATE_FRACTION;
+    this.writeRps = writeRps * Constants.USABLE_RATE_FRACTION;
     this.replica = replica;
-    this.requests = new TokenBucket(0, this.rps / Constants.BURST_PART, env.nowMillis());
+    this.requests = new TokenBucket(0, this.rps / Constants.BURST_DIVISOR, env.nowMillis());
     this.reservedReads = new TokenBucket(0, 1, env.nowMillis());
-    this.writes = new TokenBucket(0, this.writeRps / Constants.BURST_PART, env.nowMillis());
+    this.writes = new TokenBucket(0, this.writeRps / Constants.BURST_DIVISOR, env.nowMillis());
     setShare(new RateDemand(0, 0), List.of());
     for (int i = 0; i < Urgency.values().length; i++) {
       queues.add(new ArrayDeque<>());
@@ -139,7 +139,7 @@
 
     /** Ends an interval of {@code seconds} and returns the updated average. */
     double sample(double seconds) {
-      double decay = Math.exp(-seconds / Constants.WISH_S);
+      double decay = Math.exp(-seconds / Constants.RATE_DEMAND_SMOOTHING_S);
       perSecond = perSecond * decay + sum / seconds * (1 - decay);
       sum = 0;
       return perSecond;
@@ -164,8 +164,8 @@
    */
   public void setShare(RateDemand own, List<RateDemand> others) {
     int controllers = others.size() + 1;
-    double floorRequests = rps / Constants.WISH_FLOORS / controllers;
-    double floorWrites = writeRps / Constants.WISH_FLOORS / controllers;
+    double floorRequests = rps / Constants.MIN_SHARE_DIVISOR / controllers;
+    double floorWrites = writeRps / Constants.MIN_SHARE_DIVISOR / controllers;
     double sumRequests = own.requests + controllers * floorRequests;
     double sumWrites = own.writes + controllers * floorWrites;
     for (RateDemand other : others) {
@@ -173,7 +173,7 @@
       sumWrites += other.writes;
     }
     long now = env.nowMillis();
-    reservedReads.rate(rps * Constants.READINGS_PART / controllers, now);
+    reservedReads.rate(rps * Constants.RESERVED_READS_FRACTION / controllers, now);
     requests.rate(rps * (own.requests + floorRequests) / sumRequests, now);
     writes.rate(writeRps * (own.writes + floorWrites) / sumWrites, now);
   }
@@ -183,7 +183,7 @@
     if (waitingCalls() > 0) {
       return 0;
     }
-    return (int) writes.availableAbove(Constants.WRITES_KEPT, env.nowMillis());
+    return (int) writes.availableAbove(Constants.RESERVED_WRITES_FRACTION, env.nowMillis());
   }
 
   /** Number of calls that wait for budget. */
@@ -223,7 +223,7 @@
       int writeCount,
       long timeoutMs,
       Consumer<Answer> then) {
-    submit(urgency, method, path, body, writeCount, timeoutMs, Constants.BUDGET_WAIT_MS, then);
+    submit(urgency, method, path, body, writeCount, timeoutMs, Constants.MAX_BUDGET_WAIT_MS, then);
   }
 
   private void submit(
@@ -272,7 +272,8 @@
 
   /** Submissions per second that can be accepted beside the recent rate of more urgent writes. */
   public double acceptancesPerSecond() {
-    return Math.max(writes.rate() - urgentWritesPerSecond, Constants.ACCEPT_LEAST * writes.rate());
+    return Math.max(
+        writes.rate() - urgentWritesPerSecond, Constants.MIN_ACCEPTANCE_FRACTION * writes.rate());
   }
 
   private void dispatch() {
@@ -291,7 +292,7 @@
       next = nextCall(now);
     }
     if (waitingCalls() > 0) {
-      dispatcher.schedule(Constants.PUMP_MS);
+      dispatcher.schedule(Constants.DISPATCH_INTERVAL_MS);
     }
   }
 
@@ -330,7 +331,8 @@
 
   /** While requests are scarce, reads are limited to their reserved rate; writes get the rest. */
   private boolean canRead(long now) {
-    return requests.availableAbove(Constants.REQUESTS_AMPLE, now) > 0 || reservedReads.has(1, now);
+    return requests.availableAbove(Constants.AMPLE_REQUESTS_FRACTION, now) > 0
+        || reservedReads.has(1, now);
   }
 
   /** The most urgent waiting write, or the most urgent waiting read; null if there is none. */
@@ -364,7 +366,7 @@
             // retried before others of its urgency.
             queues.get(call.urgency.ordinal()).addFirst(call);
             (call.writes > 0 ? writes : requests).discardTokens(env.nowMillis());
-            dispatcher.schedule(Constants.OVER_RATE_MS);
+            dispatcher.schedule(Constants.THROTTLED_PAUSE_MS);
           } else {
             call.then.accept(parseReply(reply));
           }
@@ -387,7 +389,7 @@
 
   /** Commits a transaction; on success the replica is updated before {@code then} runs. */
   public void commit(Urgency urgency, Txn txn, Consumer<Txn.Result> then) {
-    commit(urgency, txn, Constants.BUDGET_WAIT_MS, then);
+    commit(urgency, txn, Constants.MAX_BUDGET_WAIT_MS, then);
   }
 
   /** Commits a transaction, which is refused if it would wait longer than this for budget. */
@@ -398,7 +400,7 @@
         Wire.TRANSACTION,
         txn.toNode(),
         txn.size(),
-        Constants.STATE_CALL_MS,
+        Constants.STATE_CALL_TIMEOUT_MS,
         maxWaitMs,
         answer -> then.accept(result(txn, answer)));
   }
@@ -441,19 +443,20 @@
 
   /** Reads one key directly from the state service. */
   public void get(String key, Consumer<Answer> then) {
-    submit(Urgency.READ, "GET", Wire.KEYS + "/" + key, null, 0, Constants.STATE_CALL_MS, then);
+    submit(
+        Urgency.READ, "GET", Wire.KEYS + "/" + key, null, 0, Constants.STATE_CALL_TIMEOUT_MS, then);
   }
 
   /** Lists one page of all keys, after the given key; null starts with the first key. */
   void list(String after, Consumer<Answer> then) {
-    String path = Wire.KEYS + "?under=" + Wire.KEY_ROOT + "&most=" + Constants.KEY_PAGE;
+    String path = Wire.KEYS + "?under=" + Wire.KEY_ROOT + "&most=" + Constants.KEY_PAGE_ENTRIES;
     submit(
         Urgency.HANDS,
         "GET",
         after == null ? path : path + "&since=" + after,
         null,
         0,
-        2 * Constants.STATE_CALL_MS,
+        2 * Constants.STATE_CALL_TIMEOUT_MS,
         then);
   }
 
@@ -465,7 +468,7 @@
         Wire.CHANGES + "?under=" + Wire.KEY_ROOT + "&since=" + since + "&blockMs=" + blockMs,
         null,
         0,
-        blockMs + Constants.STATE_CALL_MS,
+        blockMs + Constants.STATE_CALL_TIMEOUT_MS,
         then);
   }
 
@@ -475,9 +478,9 @@
         Urgency.HOLD,
         "POST",
         Wire.SESSION_LEASES,
-        Cbor.map().put("lifeMs", Constants.HOLD_MS),
+        Cbor.map().put("lifeMs", Constants.SESSION_TTL_MS),
         0,
-        Constants.STATE_CALL_MS,
+        Constants.STATE_CALL_TIMEOUT_MS,
         then);
   }
 
@@ -489,7 +492,7 @@
         Wire.SESSION_LEASES + "/" + sessionId + "/touch",
         Cbor.map(),
         0,
-        Constants.STATE_CALL_MS,
+        Constants.STATE_CALL_TIMEOUT_MS,
         then);
   }
 
--- a/src/main/java/dunlincroft/calendar/RunTimes.java
+++ b/src/main/java/dunlincroft/calendar/RunTimes.java
@@ -26,9 +26,9 @@
   double secondsOf(JobSpec spec) {
     Histogram seen = ratios.get(spec.jobclass());
     double ratio =
-        seen == null || seen.getTotalCount() < Constants.RUN_TIMES_LEAST
-            ? Constants.RUN_TIME_UNKNOWN
-            : seen.getValueAtPercentile(100 * (1 - Constants.CUT_OFF_RISK)) / MILLI;
+        seen == null || seen.getTotalCount() < Constants.MIN_RUN_TIME_SAMPLES
+            ? Constants.UNKNOWN_RUN_TIME_FACTOR
+            : seen.getValueAtPercentile(100 * (1 - Constants.CUT_OFF_OVERRUN_FRACTION)) / MILLI;
     return spec.estimatedRunS() * ratio;
   }
 }
--- a/src/main/java/dunlincroft/calendar/SettlementCalendar.java
+++ b/src/main/java/dunlincroft/calendar/SettlementCalendar.java
@@ -138,7 +138,7 @@
   private boolean isOpen(Night night) {
     long wall = env.wallMillis();
     return night.phase() == Phase.OPEN
-        && wall + clockOffMs + Constants.LAST_START_MS < night.cutOffMs();
+        && wall + clockOffMs + Constants.LAST_START_LEAD_MS < night.cutOffMs();
   }
 
   @Override
@@ -211,7 +211,7 @@
         put(txn, night.in(next));
         moved.add(night.name() + " is " + next);
       } else if (night.phase() == Phase.CLOSED
-          && wall - night.cutOffMs() > Constants.NIGHTS_KEPT_MS
+          && wall - night.cutOffMs() > Constants.NIGHT_RETENTION_MS
           && txn.size() < txnOps) {
         String key = Wire.key(Replica.NIGHTS, night.name());
         txn.guard(key, replica.stamp(Replica.NIGHTS, night.name())).remove(key);
@@ -233,7 +233,7 @@
           });
     }
     if (env.nowMillis() >= nextForecast) {
-      nextForecast = env.nowMillis() + Constants.FORECAST_MS;
+      nextForecast = env.nowMillis() + Constants.FORECAST_INTERVAL_MS;
       nights.values().stream().filter(this::isOpen).forEach(night -> forecast(night, wall));
     }
   }
--- a/src/main/java/dunlincroft/coordination/Autoscaler.java
+++ b/src/main/java/dunlincroft/coordination/Autoscaler.java
@@ -84,7 +84,9 @@
         || (!membership.isLeader() && !cluster.machineTypes.isEmpty())) {
       return;
     }
-    nextTypeQueryMs = cluster.now() + (cluster.machineTypes.isEmpty() ? 2000 : Constants.TYPES_MS);
+    nextTypeQueryMs =
+        cluster.now()
+            + (cluster.machineTypes.isEmpty() ? 2000 : Constants.MACHINE_TYPES_REFRESH_MS);
     cloud.call(
         false,
         "GET",
@@ -133,7 +135,8 @@
     discovery.tick();
     recordShares();
     machineList.tick();
-    if (!cluster.machineTypes.isEmpty() && cluster.feed.stalenessMs() < Constants.STALE_MS) {
+    if (!cluster.machineTypes.isEmpty()
+        && cluster.feed.stalenessMs() < Constants.MAX_STALENESS_MS) {
       provisioner.tick();
       provisioner.provisionForReplicas();
       provisioner.provisionForStarved();
@@ -154,7 +157,7 @@
     for (Settings.Team team : cluster.settings.teams().values()) {
       String key = Wire.key(Replica.SHARES, team.name());
       if (cluster.replica.get(Replica.SHARES, team.name()) == null
-          && txn.size() < cluster.settings.txnOps()) {
+          && txn.size() < cluster.settings.maxTxnOps()) {
         ObjectNode share = Cbor.map();
         share
             .putObject(shards.get(0))
@@ -183,7 +186,7 @@
    * endpoints.
    */
   void prefetchEndpoints(boolean takeoverImminent) {
-    standbyUntilMs = cluster.now() + 2 * Constants.SUPPLY_MS;
+    standbyUntilMs = cluster.now() + 2 * Constants.AUTOSCALING_INTERVAL_MS;
     takeoverImminentUntilMs = takeoverImminent ? standbyUntilMs : takeoverImminentUntilMs;
     if (takeoverImminent) {
       cloud.setRate(cluster.settings.cloudRps() * cloudRateFraction());
@@ -201,7 +204,7 @@
     silentMachines = provisioner.silentMachines();
     provisioner.refreshSilentOnPeers();
     cloud.setRate(cluster.settings.cloudRps() * cloudRateFraction());
-    if (cluster.feed.stalenessMs() > Constants.STALE_MS || cluster.ownedShards.isEmpty()) {
+    if (cluster.feed.stalenessMs() > Constants.MAX_STALENESS_MS || cluster.ownedShards.isEmpty()) {
       return;
     }
     releaser.tick();
@@ -218,15 +221,17 @@
     List<String> shards = membership.leasedShards();
     long ownedCount = shards.stream().filter(cluster::owns).count();
     if (membership.isLeader()) {
-      return ownedCount == shards.size() ? Constants.CLOUD_ALL_PART : Constants.CLOUD_HALF_PART;
+      return ownedCount == shards.size()
+          ? Constants.FULL_CLOUD_RATE_FRACTION
+          : Constants.HALF_CLOUD_RATE_FRACTION;
     }
     if (ownedCount > 0) {
-      return Constants.CLOUD_HALF_PART * ownedCount / shards.size();
+      return Constants.HALF_CLOUD_RATE_FRACTION * ownedCount / shards.size();
     }
     if (cluster.now() < takeoverImminentUntilMs) {
-      return Constants.CLOUD_HALF_PART;
+      return Constants.HALF_CLOUD_RATE_FRACTION;
     }
-    double standbyFraction = 1 - Constants.CLOUD_ALL_PART;
+    double standbyFraction = 1 - Constants.FULL_CLOUD_RATE_FRACTION;
     return cluster.now() < standbyUntilMs
         ? standbyFraction
         : standbyFraction / membership.names().size();
--- a/src/main/java/dunlincroft/coordination/CloudClient.java
+++ b/src/main/java/dunlincroft/coordination/CloudClient.java
@@ -37,7 +37,7 @@
 
   /** Sets this controller's share of the published request rate. */
   void setRate(double rps) {
-    bucket.rate(rps * Constants.BUDGET_PART, env.nowMillis());
+    bucket.rate(rps * Constants.USABLE_RATE_FRACTION, env.nowMillis());
   }
 
   /**
@@ -73,7 +73,7 @@
               call.method,
               call.path,
               call.body == null ? null : Cbor.bytes(call.body),
-              Constants.CLOUD_CALL_MS),
+              Constants.CLOUD_CALL_TIMEOUT_MS),
           reply -> {
             ObjectNode body = null;
             int status = reply.status();
--- a/src/main/java/dunlincroft/coordination/ClusterState.java
+++ b/src/main/java/dunlincroft/coordination/ClusterState.java
@@ -122,14 +122,14 @@
 
   /**
    * All machines in the order in which consistent hashing prefers them for an image. The ring is
-   * rebuilt at most once per {@link Constants#RING_MS}.
+   * rebuilt at most once per {@link Constants#RING_REBUILD_MS}.
    */
   List<Machine> preferenceList(String image) {
     if (ringStale && now() >= nextRingBuildMs) {
       ring = new Ring(machines.values());
       preferenceLists.clear();
       ringStale = false;
-      nextRingBuildMs = now() + Constants.RING_MS;
+      nextRingBuildMs = now() + Constants.RING_REBUILD_MS;
     }
     return preferenceLists.computeIfAbsent(image, ring::preferenceList);
   }
@@ -407,7 +407,7 @@
 
   /** Milliseconds of silence in which a worker misses the given number of reports. */
   long reportIntervalsMs(double intervals) {
-    return (long) (settings.reportS() * intervals * 1000);
+    return (long) (settings.reportIntervalS() * intervals * 1000);
   }
 
   /**
@@ -428,7 +428,7 @@
    * costly.
    */
   boolean isUsable(Machine machine, long nowMs) {
-    return machine.isUsable(nowMs, reportIntervalsMs(Constants.SUSPECT_REPORTS));
+    return machine.isUsable(nowMs, reportIntervalsMs(Constants.SUSPECT_REPORT_INTERVALS));
   }
 
   // ---- teams ----
@@ -474,8 +474,8 @@
    * cancellation that the node does not know of.
    */
   long maxCancellationLagMs() {
-    long slackMs = (long) ((settings.cancelS() - settings.leaseS()) * 1000);
-    return slackMs - Math.min(Constants.CUT_MARGIN_MS, slackMs / 2);
+    long slackMs = (long) ((settings.maxCancellationS() - settings.workerLeaseS()) * 1000);
+    return slackMs - Math.min(Constants.CANCELLATION_LAG_MARGIN_MS, slackMs / 2);
   }
 
   /** Machine types that a job allows and on which one of its tasks fits. */
--- a/src/main/java/dunlincroft/coordination/Consolidation.java
+++ b/src/main/java/dunlincroft/coordination/Consolidation.java
@@ -110,7 +110,7 @@
         machine.drainReason = SURPLUS;
       }
       boolean noSpareOnDemand = spare.stream().allMatch(machine -> machine.preemptible);
-      if (noSpareOnDemand && excess >= 1 && onDemandExcess >= Constants.CONSOLIDATE_OVER) {
+      if (noSpareOnDemand && excess >= 1 && onDemandExcess >= Constants.MIN_CONSOLIDATION_EXCESS) {
         consolidate(type);
       }
     }
@@ -166,7 +166,7 @@
 
   private boolean isMovable(Placement placement) {
     return Wire.RUNNING.equals(placement.reportedStatus)
-        && cluster.now() - placement.placedAtMs > Constants.MOVE_AFTER_MS
+        && cluster.now() - placement.placedAtMs > Constants.MIN_RUN_BEFORE_MOVE_MS
         && !placement.stopRequested;
   }
 
@@ -194,7 +194,7 @@
                   "host {} is not needed: its {} tasks move to machines with room",
                   machine.host,
                   machine.placements.size());
-              nextConsolidationMs = cluster.now() + Constants.CONSOLIDATE_MS;
+              nextConsolidationMs = cluster.now() + Constants.CONSOLIDATION_INTERVAL_MS;
               machine.drainReason = SURPLUS;
               evictAll(machine);
             });
@@ -235,6 +235,6 @@
 
   /** Whether the minimum billing period is over; returning a machine earlier saves nothing. */
   boolean isPastMinimumBilling(Machine machine) {
-    return cluster.env.wallMillis() - machine.rentedAtWallMs >= Constants.PAID_MS;
+    return cluster.env.wallMillis() - machine.rentedAtWallMs >= Constants.MIN_RENTAL_MS;
   }
 }
--- a/src/main/java/dunlincroft/coordination/Controller.java
+++ b/src/main/java/dunlincroft/coordination/Controller.java
@@ -57,11 +57,11 @@
     JobIndex jobIndex = new JobIndex(replica);
     StateStore store =
         new StateStore(
-            env, settings.state(), settings.stateRps(), settings.stateWriteRps(), replica);
+            env, settings.stateEndpoint(), settings.stateRps(), settings.stateWriteRps(), replica);
     cluster = new ClusterState(settings, policy, env, store, replica, jobIndex);
     metrics = new Metrics(env::wallMillis);
     cluster.metrics = metrics;
-    calendar = new SettlementCalendar(env, store, replica, jobIndex, settings.clockOffMs());
+    calendar = new SettlementCalendar(env, store, replica, jobIndex, settings.maxClockOffsetMs());
     migrations = new MigrationLedger(env, store, replica, jobIndex, cluster.blocks);
     cluster.conditions = new Conditions(List.of(calendar, migrations));
     startConditions = new StartConditions(cluster);
@@ -76,8 +76,8 @@
     CloudClient cloud =
         new CloudClient(
             env,
-            settings.cloud(),
-            settings.cloudRps() * Constants.BUDGET_PART / membership.names().size());
+            settings.cloudEndpoint(),
+            settings.cloudRps() * Constants.USABLE_RATE_FRACTION / membership.names().size());
     Demand demand = new Demand(cluster);
     MachineDiscovery discovery = new MachineDiscovery(cluster, membership, demand);
     heartbeats = new HeartbeatRouter(cluster, membership, workerProtocol, discovery, proxyOwner);
@@ -233,10 +233,13 @@
     long now = cluster.now();
     long lateMs = now - tickDueMs;
     boolean isIdle = cluster.machines.isEmpty() && cluster.jobs.isEmpty();
-    scheduleTick(isIdle ? Constants.CALM_TICKS * Constants.PLACE_MS : Constants.PLACE_MS);
-    if (lateMs > Constants.STOOD_STILL_MS) {
+    scheduleTick(
+        isIdle
+            ? Constants.IDLE_TICKS * Constants.PLACEMENT_INTERVAL_MS
+            : Constants.PLACEMENT_INTERVAL_MS);
+    if (lateMs > Constants.PROCESS_PAUSE_MS) {
       onProcessPause(lateMs);
-    } else if (lateMs > Constants.LATE_MS) {
+    } else if (lateMs > Constants.LATE_TICK_MS) {
       membership.ticksDelayed();
     }
     tasks.runDue(now);
@@ -244,7 +247,7 @@
 
   /** Adds the periodic tasks of a controller, in the order in which they run within one tick. */
   private void addPeriodicTasks() {
-    long slowPeriodMs = Constants.SLOW_TICKS * Constants.PLACE_MS;
+    long slowPeriodMs = Constants.SLOW_TICKS * Constants.PLACEMENT_INTERVAL_MS;
     tasks.every(slowPeriodMs, "rate limits of the state service", now -> updateRateShares());
     tasks.every(slowPeriodMs, "membership", now -> membership.tick());
     tasks.every(slowPeriodMs, "admission", this::tickAdmission);
@@ -256,14 +259,18 @@
         "stop tasks whose conditions have ended",
         now -> schedulePush(startConditions.stopEnded()));
     tasks.every(
-        Constants.SUPPLY_MS, "machine provisioning, as the leader", now -> runLeaderScaling());
-    tasks.every(Constants.SUPPLY_MS, "machines, as the owner", now -> autoscaler.ownerTick());
-    tasks.every(Constants.SUPPLY_MS, "handover", now -> runHandover());
-    tasks.every(Constants.SUPPLY_MS, "placement due", now -> cluster.placementDue = true);
+        Constants.AUTOSCALING_INTERVAL_MS,
+        "machine provisioning, as the leader",
+        now -> runLeaderScaling());
+    tasks.every(
+        Constants.AUTOSCALING_INTERVAL_MS, "machines, as the owner", now -> autoscaler.ownerTick());
+    tasks.every(Constants.AUTOSCALING_INTERVAL_MS, "handover", now -> runHandover());
+    tasks.every(
+        Constants.AUTOSCALING_INTERVAL_MS, "placement due", now -> cluster.placementDue = true);
     tasks.everyTick("placement", this::runRoundIfDue);
     tasks.everyTick("records", now -> flushPlacements());
-    long firstLogMs = cluster.now() + Constants.FIGURES_MS;
-    tasks.everyFrom(firstLogMs, Constants.FIGURES_MS, "metrics", now -> logMetrics());
+    long firstLogMs = cluster.now() + Constants.METRICS_INTERVAL_MS;
+    tasks.everyFrom(firstLogMs, Constants.METRICS_INTERVAL_MS, "metrics", now -> logMetrics());
   }
 
   private void tickAdmission(long now) {
@@ -277,8 +284,8 @@
   private void runLeaderDuties() {
     if (isLeader()) {
       membership.renewLeases(cluster.blocks.hosts().size(), cluster.policy.holderMachines());
-      calendar.lead(() -> membership.guardAsLeader(new Txn()), cluster.settings.txnOps());
-      migrations.lead(() -> membership.guardAsLeader(new Txn()), cluster.settings.txnOps());
+      calendar.lead(() -> membership.guardAsLeader(new Txn()), cluster.settings.maxTxnOps());
+      migrations.lead(() -> membership.guardAsLeader(new Txn()), cluster.settings.maxTxnOps());
     }
   }
 
@@ -335,7 +342,9 @@
   private long runRound(boolean servicesOnly) {
     long startMs = cluster.now();
     schedulePush(scheduler.place(servicesOnly));
-    return Math.max(Constants.PLACE_MS, Constants.PLACE_REST * (cluster.now() - startMs));
+    return Math.max(
+        Constants.PLACEMENT_INTERVAL_MS,
+        Constants.PLACEMENT_PAUSE_FACTOR * (cluster.now() - startMs));
   }
 
   /**
@@ -355,14 +364,14 @@
   }
 
   private String nodeName() {
-    return cluster.settings.node();
+    return cluster.settings.nodeName();
   }
 
   /** Whether this node owns a shard and its replica is recent enough to act on. */
   private boolean isCurrentOwner() {
     return !cluster.ownedShards.isEmpty()
         && cluster.feed.synced()
-        && cluster.feed.stalenessMs() < Constants.STALE_MS;
+        && cluster.feed.stalenessMs() < Constants.MAX_STALENESS_MS;
   }
 
   /**
@@ -372,7 +381,7 @@
   private void updateRateShares() {
     boolean ownsLeasedShard = membership.leasedShards().stream().anyMatch(cluster::owns);
     cluster.feed.setWatchPause(
-        ownsLeasedShard ? Constants.WATCH_PAUSE_MS : Constants.WATCH_CALM_MS);
+        ownsLeasedShard ? Constants.OWNER_WATCH_PAUSE_MS : Constants.STANDBY_WATCH_PAUSE_MS);
     membership.shareRates();
   }
 
@@ -405,9 +414,9 @@
     boolean current =
         cluster.feed.synced()
             && !cluster.machineTypes.isEmpty()
-            && cluster.feed.stalenessMs() < Constants.STALE_MS;
+            && cluster.feed.stalenessMs() < Constants.MAX_STALENESS_MS;
     boolean isStarting =
-        cluster.now() - startedAtMs < Constants.BEGIN_MS && !membership.hasActivePeers();
+        cluster.now() - startedAtMs < Constants.STARTUP_MS && !membership.hasActivePeers();
     return current || isStarting || membership.areAllPeersDisconnected();
   }
 
--- a/src/main/java/dunlincroft/coordination/Demand.java
+++ b/src/main/java/dunlincroft/coordination/Demand.java
@@ -38,7 +38,7 @@
    */
   Map<String, MachineDemand> smoothedDemand() {
     double seconds = (cluster.now() - smoothedAtMs) / 1000.0;
-    if (seconds * 1000 < Constants.SUPPLY_MS / 2.0) {
+    if (seconds * 1000 < Constants.AUTOSCALING_INTERVAL_MS / 2.0) {
       return smoothed;
     }
     smoothedAtMs = cluster.now();
@@ -58,9 +58,9 @@
    */
   private static double approach(double from, double to, double seconds) {
     double timeConstantS =
-        to > from * Constants.NEED_JUMP
-            ? Constants.NEED_JUMP_S
-            : to > from ? Constants.NEED_RISE_S : Constants.NEED_FALL_S;
+        to > from * Constants.DEMAND_JUMP_FACTOR
+            ? Constants.DEMAND_JUMP_SMOOTHING_S
+            : to > from ? Constants.DEMAND_RISE_SMOOTHING_S : Constants.DEMAND_FALL_SMOOTHING_S;
     return to + (from - to) * Math.exp(-seconds / timeConstantS);
   }
 
@@ -115,7 +115,7 @@
   /** Number of machines that some tasks of a job fill, in fractions of a machine. */
   private static double machinesFor(JobSpec spec, MachineType type, int tasks) {
     return (double) tasks
-        / Math.max(1, spec.resources().countIn(type.resources(), Constants.MAX_PIECES));
+        / Math.max(1, spec.resources().countIn(type.resources(), Constants.MAX_TASKS_PER_JOB));
   }
 
   boolean isCancelled(JobSpec spec) {
--- a/src/main/java/dunlincroft/coordination/DirectCommands.java
+++ b/src/main/java/dunlincroft/coordination/DirectCommands.java
@@ -55,7 +55,11 @@
     AnswerHandler.LastReport lastReport = AnswerHandler.LastReport.of(machine);
     cluster.env.call(
         new Env.Call(
-            machine.endpoint, "POST", Wire.COMMANDS, Cbor.bytes(body), Constants.WORKER_CALL_MS),
+            machine.endpoint,
+            "POST",
+            Wire.COMMANDS,
+            Cbor.bytes(body),
+            Constants.WORKER_CALL_TIMEOUT_MS),
         reply -> onReply(machine, fence, lastReport, reply));
   }
 
@@ -96,7 +100,7 @@
               || !workerOrders.forMachine(machine, cluster.fenceToken(machine), true).stream()
                   .allMatch(DirectCommands::isDeferrable);
       if (hasMore) {
-        cluster.env.after(Constants.PLACE_MS, () -> pushIfOwned(machine));
+        cluster.env.after(Constants.PLACEMENT_INTERVAL_MS, () -> pushIfOwned(machine));
       }
     }
   }
--- a/src/main/java/dunlincroft/coordination/FaultAttribution.java
+++ b/src/main/java/dunlincroft/coordination/FaultAttribution.java
@@ -45,12 +45,12 @@
       LOG.info(
           "job {} has failed on {} machines and run on none: one task at a time from now on",
           job.id,
-          Constants.JOB_FAULTY_AFTER);
+          Constants.FAULTY_JOB_MACHINES);
       cluster.machines.values().forEach(other -> other.failedJobs.remove(job.id));
     }
     boolean isMachineFaulty =
-        machine.consecutiveFailures >= Constants.SICK_AFTER
-            || machine.failedJobs.size() >= Constants.SICK_AFTER;
+        machine.consecutiveFailures >= Constants.FAULTY_MACHINE_FAILURES
+            || machine.failedJobs.size() >= Constants.FAULTY_MACHINE_FAILURES;
     if (isMachineFaulty && machine.drainReason == null && canDrainFaulty()) {
       LOG.info(
           "host {} failed {} tasks of jobs that ran elsewhere, and {} jobs in all, consecutively:"
--- a/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatHandler.java
@@ -60,7 +60,8 @@
       return WorkerOrder.body(fence, List.of());
     }
     boolean missedAnswer =
-        machine.session.hasMissedOurAnswer(report, cluster.now(), cluster.settings.leaseS() * 1000);
+        machine.session.hasMissedOurAnswer(
+            report, cluster.now(), cluster.settings.workerLeaseS() * 1000);
     long previouslyHeardMs = machine.session.lastHeardMs();
     // The worker has already processed or lost the previous answer, as it has only one report in
     // flight at a time. An older report that arrives late says nothing about the answer to a newer
--- a/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
+++ b/src/main/java/dunlincroft/coordination/HeartbeatRouter.java
@@ -92,7 +92,7 @@
       return;
     }
     String owner = membership.ownerOf(shard);
-    boolean ownedByPeer = owner != null && !owner.equals(cluster.settings.node());
+    boolean ownedByPeer = owner != null && !owner.equals(cluster.settings.nodeName());
     if (ownedByPeer && receivedAt == cluster.now()) {
       cluster.endpoints.put(report.host(), report.endpoint());
       if (membership.recordRedirect(report.host(), shard)) {
@@ -107,7 +107,8 @@
             });
       }
     }
-    if (membership.isOwnerChanging(shard) && cluster.now() - receivedAt < Constants.HELLO_WAIT_MS) {
+    if (membership.isOwnerChanging(shard)
+        && cluster.now() - receivedAt < Constants.WORKER_HEARTBEAT_WAIT_MS) {
       // A redirect to a controller that is gone would cost the worker five seconds, and the worker
       // might be sent back here.
       pendingHeartbeats.add(new PendingHeartbeat(report, out, receivedAt));
--- a/src/main/java/dunlincroft/coordination/JobRun.java
+++ b/src/main/java/dunlincroft/coordination/JobRun.java
@@ -254,12 +254,12 @@
     everFailed = true;
     if (!hasRun) {
       failedHosts.add(host);
-      faulty |= failedHosts.size() >= Constants.JOB_FAULTY_AFTER;
+      faulty |= failedHosts.size() >= Constants.FAULTY_JOB_MACHINES;
     }
-    int backoffSteps = consecutiveFailures - Constants.JOB_PAUSED_AFTER;
+    int backoffSteps = consecutiveFailures - Constants.JOB_BACKOFF_FAILURES;
     if (faulty || backoffSteps >= 0) {
-      long backoffMs = Constants.JOB_RETRY_MS << Math.max(0, Math.min(10, backoffSteps));
-      retryAtMs = nowMs + Math.min(Constants.JOB_RETRY_MAX_MS, backoffMs);
+      long backoffMs = Constants.JOB_BACKOFF_MS << Math.max(0, Math.min(10, backoffSteps));
+      retryAtMs = nowMs + Math.min(Constants.MAX_JOB_BACKOFF_MS, backoffMs);
     }
     return hasRun;
   }
--- a/src/main/java/dunlincroft/coordination/JobService.java
+++ b/src/main/java/dunlincroft/coordination/JobService.java
@@ -51,7 +51,7 @@
       int retryAfterS,
       UnavailableCause cause) {
     Response(ResultCode code, String ref, String status, int done, int running) {
-      this(code, ref, status, done, running, Constants.RETRY_AFTER_S, null);
+      this(code, ref, status, done, running, Constants.MIN_RETRY_AFTER_S, null);
     }
 
     static Response of(ResultCode code, String ref) {
@@ -60,7 +60,7 @@
 
     /** The request should be retried after the shortest delay. */
     static Response unavailable(String ref, UnavailableCause cause) {
-      return retryAfter(ref, cause, Constants.RETRY_AFTER_S);
+      return retryAfter(ref, cause, Constants.MIN_RETRY_AFTER_S);
     }
 
     /** The request should be retried after the given number of seconds. */
@@ -76,7 +76,7 @@
   JobService(ClusterState cluster, Membership membership) {
     this.cluster = cluster;
     this.membership = membership;
-    admission = new Admission(cluster.settings.node(), cluster.settings::weight);
+    admission = new Admission(cluster.settings.nodeName(), cluster.settings::weight);
   }
 
   /** Decides which submissions are admitted while more arrive than can be accepted. */
@@ -89,7 +89,9 @@
     if (!cluster.feed.synced()) {
       return UnavailableCause.NOT_SYNCED;
     }
-    return cluster.feed.stalenessMs() < Constants.STALE_MS ? null : UnavailableCause.OUT_OF_TOUCH;
+    return cluster.feed.stalenessMs() < Constants.MAX_STALENESS_MS
+        ? null
+        : UnavailableCause.OUT_OF_TOUCH;
   }
 
   /** Wraps a consumer so that UNAVAILABLE responses are counted by request type and cause. */
@@ -147,7 +149,7 @@
   private void create(JobSpec spec, String owner, Consumer<Response> then) {
     String ref = spec.ref();
     ObjectNode record =
-        JobIndex.newRecord(spec, owner, cluster.settings.pageTasks(), cluster.env.wallMillis());
+        JobIndex.newRecord(spec, owner, cluster.settings.tasksPerPage(), cluster.env.wallMillis());
     boolean isProd = spec.rank() == JobSpec.Rank.PROD;
     Urgency urgency = isProd ? Urgency.ACCEPT_PROD : Urgency.ACCEPT;
     TrafficClass trafficClass = new TrafficClass(spec.team(), spec.jobclass(), isProd);
@@ -164,7 +166,7 @@
             .guard(Wire.key(Replica.JOBS, ref), 0)
             .guard(Wire.key(Replica.ENDED, ref), 0)
             .put(Wire.key(Replica.JOBS, ref), record),
-        Constants.BUDGET_WAIT_MS,
+        Constants.MAX_BUDGET_WAIT_MS,
         result -> {
           if (result.ok() || result.outcome() == Txn.Outcome.CONFLICT) {
             admission.settled(ref, trafficClass);
--- a/src/main/java/dunlincroft/coordination/MachineDiscovery.java
+++ b/src/main/java/dunlincroft/coordination/MachineDiscovery.java
@@ -128,7 +128,7 @@
    * behind.
    */
   void markReleased(String host) {
-    releasedUntil.put(host, cluster.now() + Constants.GONE_MS);
+    releasedUntil.put(host, cluster.now() + Constants.RELEASED_MACHINE_MEMORY_MS);
   }
 
   boolean isRecentlyReleased(String host) {
@@ -213,7 +213,7 @@
           templates.putIfAbsent(group, new UnleasedMachine(blockClass, 0, shard));
           Map<String, Long> groupHosts = hosts.computeIfAbsent(group, g -> new LinkedHashMap<>());
           groupHosts.put(host, machine.rentedAtMs);
-          if (groupHosts.size() == cluster.settings.blockMachines()) {
+          if (groupHosts.size() == cluster.settings.machinesPerBlock()) {
             propose(templates.get(group), hosts.remove(group));
           }
         });
@@ -280,7 +280,7 @@
             .guard(lastKey, cluster.replica.stamp(Replica.DISCOVERED_BLOCKS, LAST_CHANGE))
             .put(lastKey, last);
     for (Map.Entry<String, BlockRecord> entry : proposed.entrySet()) {
-      if (txn.size() < cluster.settings.txnOps() && !created.contains(entry.getKey())) {
+      if (txn.size() < cluster.settings.maxTxnOps() && !created.contains(entry.getKey())) {
         String key = Wire.key(Replica.BLOCKS, entry.getKey());
         txn.guard(key, 0).put(key, entry.getValue().toNode());
         names.add(entry.getKey());
--- a/src/main/java/dunlincroft/coordination/MachineHandover.java
+++ b/src/main/java/dunlincroft/coordination/MachineHandover.java
@@ -140,13 +140,13 @@
     return needed;
   }
 
-  /** Jobs with waiting tasks, the first {@link Constants#CLAIMS_LOOKED_AT} in scheduling order. */
+  /** Jobs with waiting tasks, the first {@link Constants#MAX_PLANNED_JOBS} in scheduling order. */
   private List<JobIndex.Job> waitingJobs() {
     return cluster.jobIndex.all().values().stream()
         .filter(job -> job.runnableTasks() > job.placedCount())
         .filter(job -> !demand.isCancelled(job.spec) && cluster.needsMachines(job.spec))
         .sorted(ShareHandover.ORDER)
-        .limit(Constants.CLAIMS_LOOKED_AT)
+        .limit(Constants.MAX_PLANNED_JOBS)
         .toList();
   }
 
@@ -185,7 +185,7 @@
    */
   private boolean isBlockedLongEnough(JobIndex.Job job) {
     long since = blockedSince.computeIfAbsent(job.spec.ref(), ref -> cluster.now());
-    return cluster.now() - since >= Constants.CLAIM_PATIENCE_MS;
+    return cluster.now() - since >= Constants.STALLED_JOB_MS;
   }
 
   private void assignMachine(JobIndex.Job job, RecordedCapacity capacity) {
@@ -245,7 +245,8 @@
     String from = block.record().shard();
     String to = moves.getKey();
     List<Machine> machines = moves.getValue();
-    if (!cluster.owns(from) || (cluster.settings.txnOps() < 2 && machines.size() < block.size())) {
+    if (!cluster.owns(from)
+        || (cluster.settings.maxTxnOps() < 2 && machines.size() < block.size())) {
       return;
     }
     List<String> hosts = machines.stream().map(machine -> machine.host).toList();
--- a/src/main/java/dunlincroft/coordination/MachineList.java
+++ b/src/main/java/dunlincroft/coordination/MachineList.java
@@ -54,7 +54,7 @@
 
   /** Milliseconds of so many usual lags of the list. */
   private long lagMs(double number) {
-    return (long) (cluster.settings.listLagS() * number * 1000);
+    return (long) (cluster.settings.machineListLagS() * number * 1000);
   }
 
   /**
@@ -75,7 +75,8 @@
 
   /** Prefetches the endpoints of machines that this node may acquire. */
   void prefetchEndpoints(boolean takeoverImminent) {
-    long intervalMs = takeoverImminent ? Constants.LIST_MS : Constants.LOOK_AHEAD_MS;
+    long intervalMs =
+        takeoverImminent ? Constants.MACHINE_LIST_INTERVAL_MS : Constants.STANDBY_LIST_INTERVAL_MS;
     if (cluster.now() - lastPollMs >= intervalMs) {
       nextPollMs = 0;
       tick();
@@ -89,7 +90,7 @@
     }
     hasToRepoll = false;
     lastPollMs = cluster.now();
-    nextPollMs = lastPollMs + Constants.LIST_MS;
+    nextPollMs = lastPollMs + Constants.MACHINE_LIST_INTERVAL_MS;
     isPolling = true;
     pollFrom("", new HashSet<>());
   }
@@ -98,7 +99,7 @@
     cloud.call(
         false,
         "GET",
-        Wire.MACHINES + "?since=" + since + "&most=" + Constants.MACHINE_PAGE,
+        Wire.MACHINES + "?since=" + since + "&most=" + Constants.MACHINE_PAGE_ENTRIES,
         null,
         (status, body) -> {
           isPolling = false;
@@ -136,7 +137,7 @@
       if (membership.isLeader()
           && !discovery.isRecentlyReleased(listing.host())
           && cluster.now() - unknownSince.computeIfAbsent(listing.host(), host -> cluster.now())
-              >= lagMs(Constants.UNKNOWN_LAGS)) {
+              >= lagMs(Constants.UNKNOWN_ENTRY_LIST_LAGS)) {
         LOG.info("host {} is listed by the cloud and has no block: adopting it", listing.host());
         discovery.adopt(
             List.of(listing.host()),
--- a/src/main/java/dunlincroft/coordination/MachineProvisioner.java
+++ b/src/main/java/dunlincroft/coordination/MachineProvisioner.java
@@ -116,7 +116,7 @@
         .filter(machine -> machine.blockStamp > 0 && machine.session.hasReported())
         .filter(machine -> !isExpectedToServe(machine))
         .map(machine -> machine.host)
-        .limit(Constants.SILENT_MACHINES_TOLD)
+        .limit(Constants.MAX_SILENT_MACHINES_REPORTED)
         .toList();
   }
 
@@ -127,11 +127,11 @@
     }
     if (machine.session.hasReported()) {
       return cluster.now() - machine.session.lastHeardMs()
-          < cluster.reportIntervalsMs(Constants.SUSPECT_REPORTS);
+          < cluster.reportIntervalsMs(Constants.SUSPECT_REPORT_INTERVALS);
     }
     double startupS = machine.type == null ? 0 : machine.type.startupS();
     long ageMs = cluster.env.wallMillis() - machine.rentedAtWallMs;
-    return ageMs < startupS * 1000 * Constants.BOOT_USUAL + Constants.BOOT_EXTRA_MS;
+    return ageMs < startupS * 1000 * Constants.USUAL_BOOT_FACTOR + Constants.BOOT_EXTRA_MS;
   }
 
   // ---- provisioning ----
@@ -269,7 +269,7 @@
             .put("flavour", machineClass.machineType())
             .put("hall", machineClass.zone())
             .put("lendable", machineClass.preemptible())
-            .put("number", Math.min(Constants.MAX_HIRE, number));
+            .put("number", Math.min(Constants.MAX_RENTAL_MACHINES, number));
     send(body, machineClass, shard, 0);
   }
 
@@ -297,7 +297,7 @@
           || (job.placedCount() >= job.runnableTasks() && cluster.misplacedReplicas(job) == 0)
           || job.faulty()) {
         progress.put(entry.getKey(), new Progress(startedTasks, cluster.now()));
-      } else if (cluster.now() - last.sinceMs > Constants.STARVED_MS) {
+      } else if (cluster.now() - last.sinceMs > Constants.STARVATION_MS) {
         progress.put(entry.getKey(), new Progress(startedTasks, cluster.now()));
         provisionFor(job);
       }
@@ -360,11 +360,11 @@
         Wire.MACHINES,
         body,
         (status, answer) -> {
-          if (status == 0 && retries < Constants.HIRE_TRIES) {
+          if (status == 0 && retries < Constants.MAX_RENTAL_RETRIES) {
             // The request may have been executed although there was no response: only the same
             // request name makes the retry idempotent.
             cluster.env.after(
-                Constants.HIRE_RETRY_MS, () -> send(body, machineClass, shard, retries + 1));
+                Constants.RENTAL_RETRY_MS, () -> send(body, machineClass, shard, retries + 1));
             return;
           }
           requested.remove(machineClass);
@@ -375,7 +375,10 @@
                 answer != null && answer.path("error").asText().equals("no capacity");
             refusedUntil.put(
                 machineClass,
-                cluster.now() + (isOutOfCapacity ? Constants.REFUSED_MS : Constants.SUPPLY_MS));
+                cluster.now()
+                    + (isOutOfCapacity
+                        ? Constants.REFUSED_RENTAL_PAUSE_MS
+                        : Constants.AUTOSCALING_INTERVAL_MS));
             return;
           }
           try {
--- a/src/main/java/dunlincroft/coordination/MachineReleaser.java
+++ b/src/main/java/dunlincroft/coordination/MachineReleaser.java
@@ -52,7 +52,7 @@
     this.discovery = discovery;
     this.consolidation = consolidation;
     this.zoneOutages = zoneOutages;
-    this.suspectAfterMs = cluster.reportIntervalsMs(Constants.SUSPECT_REPORTS);
+    this.suspectAfterMs = cluster.reportIntervalsMs(Constants.SUSPECT_REPORT_INTERVALS);
   }
 
   /**
@@ -63,7 +63,7 @@
     List<Machine> toRelease = new ArrayList<>();
     for (Machine machine : cluster.machines.values()) {
       String reason = releaseReason(machine);
-      boolean hasBatchSpace = !isReleasing && toRelease.size() < Constants.MAX_RELEASE;
+      boolean hasBatchSpace = !isReleasing && toRelease.size() < Constants.MAX_RELEASE_MACHINES;
       if (reason != null && machine.lifecycle == MachineLifecycle.IN_USE && hasBatchSpace) {
         LOG.info(
             "host {} is released: {}; {} tasks on it",
@@ -113,7 +113,8 @@
           : null;
     }
     double usualBootS = machine.type == null ? 60 : machine.type.startupS();
-    double bootTimeoutMs = usualBootS * 1000 * Constants.BOOT_FACTOR + Constants.BOOT_EXTRA_MS;
+    double bootTimeoutMs =
+        usualBootS * 1000 * Constants.BOOT_TIMEOUT_FACTOR + Constants.BOOT_EXTRA_MS;
     boolean isOverdue =
         cluster.env.wallMillis() - machine.rentedAtWallMs > bootTimeoutMs
             && silenceMs > Constants.BOOT_EXTRA_MS;
--- a/src/main/java/dunlincroft/coordination/PlacementLog.java
+++ b/src/main/java/dunlincroft/coordination/PlacementLog.java
@@ -169,8 +169,8 @@
    */
   private static long dueAt(JobRun job, ShardLog log) {
     return job.record.urgent
-        ? Math.max(job.record.dirtySince, log.lastWriteAt + Constants.LOG_PAUSE_MS)
-        : job.record.dirtySince + Constants.LAZY_WRITE_MS;
+        ? Math.max(job.record.dirtySince, log.lastWriteAt + Constants.LOG_WRITE_PAUSE_MS)
+        : job.record.dirtySince + Constants.COMPLETION_WRITE_DELAY_MS;
   }
 
   // ---- the log ----
@@ -190,8 +190,8 @@
     if (!log.hasCurrentSlot()) {
       log.advanceSlot(oldestUncoveredEntry(log.shard));
     }
-    int maxSlotBytes = cluster.settings.logBytes();
-    int maxGuards = Constants.GUARDS_PER_OP * cluster.settings.txnOps() - 2;
+    int maxSlotBytes = cluster.settings.logSlotBytes();
+    int maxGuards = Constants.GUARDS_PER_OP * cluster.settings.maxTxnOps() - 2;
     long entryNumber = log.nextEntryNumber();
     List<JobUpdate> updates = new ArrayList<>();
     List<ObjectNode> entries = new ArrayList<>();
@@ -211,7 +211,7 @@
           usedBytes = log.currentSlotBytes();
         }
         if (usedBytes + entryBytes > maxSlotBytes) {
-          update = job.record.nextUpdate(cluster.settings.logTasks());
+          update = job.record.nextUpdate(cluster.settings.maxTasksPerLogEntry());
           entry = update.toLogEntry(entryNumber);
           entryBytes = entry.toString().length() + 1;
         }
@@ -323,7 +323,8 @@
           } catch (MalformedException e) {
             LOG.info("malformed answer for log slot {}: {}", log.currentSlotKey(), e.getMessage());
           }
-          cluster.env.after(Constants.REREAD_MS, () -> reread(log, entryNumber, written, updates));
+          cluster.env.after(
+              Constants.REREAD_DELAY_MS, () -> reread(log, entryNumber, written, updates));
         });
   }
 
@@ -347,14 +348,14 @@
       }
     }
     candidates.sort(Comparator.comparingLong(page -> page.firstUncoveredEntry));
-    int maxPages = Math.min(cluster.store.availableWrites(), cluster.settings.txnOps());
+    int maxPages = Math.min(cluster.store.availableWrites(), cluster.settings.maxTxnOps());
     Txn txn = new Txn().guard(Wire.key(Replica.SHARDS, log.shard), log.ownershipStamp);
     List<JobPage> pages = new ArrayList<>();
     int txnBytes = 0;
     for (JobPage page : candidates) {
       ObjectNode record = page.record(log.lastSettledEntry).toNode();
       txnBytes += record.toString().length();
-      if (pages.size() >= maxPages || (!pages.isEmpty() && txnBytes > Constants.TXN_BYTES)) {
+      if (pages.size() >= maxPages || (!pages.isEmpty() && txnBytes > Constants.MAX_TXN_BYTES)) {
         break;
       }
       String key = Wire.key(Replica.PAGES, page.name());
@@ -434,7 +435,7 @@
             return;
           }
           if (answer.status() != 200 && answer.status() != 404) {
-            cluster.env.after(Constants.REREAD_MS, () -> reread(page));
+            cluster.env.after(Constants.REREAD_DELAY_MS, () -> reread(page));
             return;
           }
           try {
@@ -442,7 +443,7 @@
             page.outcomeUnknown = false;
           } catch (MalformedException e) {
             LOG.info("malformed answer for page {}: {}", page.name(), e.getMessage());
-            cluster.env.after(Constants.REREAD_MS, () -> reread(page));
+            cluster.env.after(Constants.REREAD_DELAY_MS, () -> reread(page));
           }
         });
   }
@@ -459,7 +460,7 @@
     List<JobPage> storedPages =
         pages.stream()
             .filter(page -> page.stamp > 0)
-            .limit(cluster.settings.txnOps() - Constants.END_OPS)
+            .limit(cluster.settings.maxTxnOps() - Constants.JOB_END_OPS)
             .toList();
     job.finishing = true;
     ObjectNode endRecord =
@@ -517,7 +518,7 @@
       String id = name.substring(0, name.lastIndexOf('/'));
       if (cluster.replica.get(Replica.JOBS, id) == null
           && cluster.replica.get(Replica.ENDED, id) != null
-          && txn.size() < cluster.settings.txnOps()) {
+          && txn.size() < cluster.settings.maxTxnOps()) {
         String key = Wire.key(Replica.PAGES, name);
         txn.guard(key, cluster.replica.stamp(Replica.PAGES, name)).remove(key);
       }
--- a/src/main/java/dunlincroft/coordination/ProxyOwner.java
+++ b/src/main/java/dunlincroft/coordination/ProxyOwner.java
@@ -78,7 +78,7 @@
    * heartbeats of its workers.
    */
   private boolean isCommonOutage() {
-    return cluster.feed.stalenessMs() > Constants.STALE_MS && membership.isCommonOutage();
+    return cluster.feed.stalenessMs() > Constants.MAX_STALENESS_MS && membership.isCommonOutage();
   }
 
   /** The answer to a worker: orders to stop cancelled tasks. All other tasks continue. */
@@ -86,7 +86,7 @@
     List<WorkerOrder> orders =
         report.tasks().stream()
             .filter(task -> !task.hasExited() && isCancelled(task))
-            .limit(Constants.MAX_ORDERS)
+            .limit(Constants.MAX_ORDERS_PER_MESSAGE)
             .map(task -> WorkerOrder.kill(task.id(), task.attempt(), 0))
             .toList();
     cluster.metrics.count(Metrics.Event.STOOD_IN);
--- a/src/main/java/dunlincroft/coordination/ReplicaHeadroom.java
+++ b/src/main/java/dunlincroft/coordination/ReplicaHeadroom.java
@@ -95,7 +95,7 @@
     Assessment assessment =
         new Assessment(new HashMap<>(), new HashSet<>(), new HashSet<>(), new HashSet<>());
     Map<String, Resources> remainingLimits = remainingLimits();
-    int checksLeft = Constants.REPLICAS_LOOKED_AT;
+    int checksLeft = Constants.MAX_REPLICAS_PER_CHECK;
     for (JobIndex.Job job : waiting) {
       if (checksLeft > 0) {
         checksLeft -= pack(job, lostHosts, bins, remainingLimits, unavailable, assessment);
@@ -275,7 +275,7 @@
         spec.resources()
             .countIn(remainingLimits.get(team.name()), job.runnableTasks() - job.placedCount());
     remainingLimits.merge(team.name(), spec.resources().times(newReplicas), Resources::minus);
-    int number = Math.min(replicasToMove + newReplicas, Constants.REPLICAS_LOOKED_AT);
+    int number = Math.min(replicasToMove + newReplicas, Constants.MAX_REPLICAS_PER_CHECK);
     for (int i = 0; i < number; i++) {
       Bin bin = bestBin(job, bins, replicasPerZone);
       if (bin == null) {
--- a/src/main/java/dunlincroft/coordination/ReportHandler.java
+++ b/src/main/java/dunlincroft/coordination/ReportHandler.java
@@ -129,7 +129,7 @@
         placement.runningSinceMs = cluster.now();
         cluster.metrics.recordStart(placement, cluster.now());
       } else if (reportedTask.status().equals(Wire.RUNNING)
-          && cluster.now() - placement.runningSinceMs > Constants.RAN_MS) {
+          && cluster.now() - placement.runningSinceMs > Constants.MIN_PROVEN_RUN_MS) {
         faultAttribution.onRanWell(placement);
       }
       return;
@@ -166,7 +166,7 @@
         return;
       }
       if (cause.equals(Wire.NO_CAPACITY)) {
-        machine.avoidUntilMs = cluster.now() + Constants.DOUBT_MS;
+        machine.avoidUntilMs = cluster.now() + Constants.REFUSED_START_AVOIDANCE_MS;
       } else if (!cause.equals(Wire.STOPPED)) {
         faultAttribution.onFailure(machine, placement);
       }
--- a/src/main/java/dunlincroft/coordination/ReservationHistory.java
+++ b/src/main/java/dunlincroft/coordination/ReservationHistory.java
@@ -57,8 +57,9 @@
       observations.remove(ref);
     } else if (previous == null || previous.deferredUntilMs > 0) {
       observations.put(ref, new Observation(startedTasks, now, 0));
-    } else if (now - previous.sinceMs > Constants.CLAIM_PATIENCE_MS) {
-      observations.put(ref, new Observation(startedTasks, now, now + Constants.CLAIM_PASSED_MS));
+    } else if (now - previous.sinceMs > Constants.STALLED_JOB_MS) {
+      observations.put(
+          ref, new Observation(startedTasks, now, now + Constants.STALLED_JOB_DEFERRAL_MS));
       return true;
     }
     return false;
--- a/src/main/java/dunlincroft/coordination/Ring.java
+++ b/src/main/java/dunlincroft/coordination/Ring.java
@@ -23,7 +23,7 @@
 
   Ring(Collection<Machine> machines) {
     this.machines = List.copyOf(machines);
-    ringPoints = new long[this.machines.size() * Constants.RING_POINTS];
+    ringPoints = new long[this.machines.size() * Constants.RING_POINTS_PER_MACHINE];
     machineIndexAt = new long[ringPoints.length];
     int next = 0;
     for (int machineIndex = 0; machineIndex < this.machines.size(); machineIndex++) {
@@ -39,7 +39,7 @@
    * Points of a machine. They depend on its name alone, so that other machines' points never move.
    */
   static long[] pointsOf(String host) {
-    long[] points = new long[Constants.RING_POINTS];
+    long[] points = new long[Constants.RING_POINTS_PER_MACHINE];
     for (int i = 0; i < points.length; i++) {
       points[i] = Hashing.of(host + "#" + i);
     }
--- a/src/main/java/dunlincroft/coordination/Scheduler.java
+++ b/src/main/java/dunlincroft/coordination/Scheduler.java
@@ -50,7 +50,10 @@
   /** Whether any waiting task may fit on any machine in the current round. */
   private boolean anyMachineAvailable;
 
-  /** Ids of jobs within their teams' guarantees, refreshed every {@link Constants#WITHIN_MS}. */
+  /**
+   * Ids of jobs within their teams' guarantees, refreshed every {@link
+   * Constants#GUARANTEE_REFRESH_MS}.
+   */
   private Set<String> cachedGuaranteedIds = Set.of();
 
   private long nextGuaranteeRefreshMs;
@@ -175,7 +178,7 @@
    */
   private Set<String> guaranteedJobIds() {
     if (roundStartMs >= nextGuaranteeRefreshMs) {
-      nextGuaranteeRefreshMs = roundStartMs + Constants.WITHIN_MS;
+      nextGuaranteeRefreshMs = roundStartMs + Constants.GUARANTEE_REFRESH_MS;
       cachedGuaranteedIds = computeGuaranteedJobIds();
     }
     return cachedGuaranteedIds;
@@ -234,7 +237,7 @@
   private static boolean isOverdue(JobRun job, long wallMs) {
     long ageMs = wallMs - job.acceptedAt;
     return !job.faulty
-        && ageMs > (job.hasStarted() ? Constants.OVERDUE_MS : Constants.OVERDUE_TO_BEGIN_MS);
+        && ageMs > (job.hasStarted() ? Constants.FINISH_OVERDUE_MS : Constants.START_OVERDUE_MS);
   }
 
   /**
@@ -251,8 +254,8 @@
     if (slackS < -job.spec.estimatedRunS() / 2) {
       slackS = JobSpec.NO_DEADLINE;
     }
-    for (Settings.Hope hope : cluster.settings.hopes()) {
-      double secondsLeft = hope.withinS() - job.spec.estimatedRunS() - ageS;
+    for (Settings.Objective hope : cluster.settings.objectives()) {
+      double secondsLeft = hope.completeWithinS() - job.spec.estimatedRunS() - ageS;
       if (hope.jobclass().equals(job.spec.jobclass())
           && secondsLeft > -job.spec.estimatedRunS() / 2) {
         slackS = Math.min(slackS, secondsLeft);
@@ -431,7 +434,7 @@
   private boolean mayStartConcurrentFetch(JobRun job) {
     return job.spec.rank() == Rank.PROD
         && job.waitingSince >= 0
-        && roundStartMs - job.waitingSince > Constants.CROWD_AFTER_MS;
+        && roundStartMs - job.waitingSince > Constants.CONCURRENT_FETCH_AFTER_MS;
   }
 
   /**
@@ -527,7 +530,9 @@
       Set<Machine> machinesWithStops) {
     boolean guaranteed = guaranteedIds.contains(job.id);
     long minWaitMs =
-        job.spec.rank() == Rank.PROD ? Constants.PREEMPT_AFTER_MS : Constants.GUARANTEE_AFTER_MS;
+        job.spec.rank() == Rank.PROD
+            ? Constants.SERVICE_PREEMPT_AFTER_MS
+            : Constants.GUARANTEE_PREEMPT_AFTER_MS;
     if (now - job.waitingSince < minWaitMs
         || now < job.nextPreemptionAt
         || (job.spec.rank() != Rank.PROD && !guaranteed)) {
@@ -659,7 +664,7 @@
         victims.add(p);
       }
     }
-    int fittingTasks = Math.max(0, taskResources.countIn(free, Constants.MAX_PIECES));
+    int fittingTasks = Math.max(0, taskResources.countIn(free, Constants.MAX_TASKS_PER_JOB));
     reservations.reserve(job, machine, Math.min(fittingTasks, maxTasks));
     if (victims.isEmpty()) {
       return fittingTasks;
@@ -706,7 +711,7 @@
         && !victimSpec.team().equals(job.spec.team())
         && !guaranteedIds.contains(p.job.id)
         && (canSaveState(p)
-            ? victimSpec.saveDurationS() <= Constants.PREEMPT_SAVE_S
+            ? victimSpec.saveDurationS() <= Constants.MAX_PREEMPT_SAVE_S
             : lostWorkMs(p, now) <= cluster.preemptLossMs(p.job));
   }
 
--- a/src/main/java/dunlincroft/coordination/ShareHandover.java
+++ b/src/main/java/dunlincroft/coordination/ShareHandover.java
@@ -29,9 +29,9 @@
  * guarded by the shard's record and by the record of the team's shares; until the outcome is known,
  * nobody uses the resources offered.
  *
- * <p>Each owner writes at most one change in {@link Constants#SHARES_MS} times the number of
- * owners, so that all owners together write at most one change in that time, however many teams and
- * jobs there are.
+ * <p>Each owner writes at most one change in {@link Constants#SHARE_CHANGE_INTERVAL_MS} times the
+ * number of owners, so that all owners together write at most one change in that time, however many
+ * teams and jobs there are.
  */
 final class ShareHandover {
   /** Services first, then by age: the same order at every owner. */
@@ -83,7 +83,7 @@
           transfersFromOwnShard(
               team.name(), item, waitingJobs.getOrDefault(team.name(), List.of()), capacity);
       if (!ownTransfers.isEmpty() && cluster.now() >= nextWriteMs) {
-        nextWriteMs = cluster.now() + (long) owners * Constants.SHARES_MS;
+        nextWriteMs = cluster.now() + (long) owners * Constants.SHARE_CHANGE_INTERVAL_MS;
         firstTeam = teamIndex + 1;
         writeTransfers(team.name(), item, ownTransfers);
       }
@@ -128,7 +128,7 @@
     for (int donorIndex = 0; donorIndex < donors.size(); donorIndex++) {
       String from = donors.get(donorIndex);
       boolean due =
-          cluster.now() - observed.sinceMs >= (long) donorIndex * Constants.SHARES_TURN_MS;
+          cluster.now() - observed.sinceMs >= (long) donorIndex * Constants.SHARE_DONOR_DELAY_MS;
       if (due
           && cluster.owns(from)
           && !cluster.outgoingShares.containsKey(outgoingKey(team, from))) {
@@ -179,11 +179,11 @@
       RecordedCapacity capacity) {
     List<ShareRequest> claims = new ArrayList<>();
     for (JobIndex.Job job : waitingJobs) {
-      if (claims.size() == Constants.CLAIMS_LOOKED_AT) {
+      if (claims.size() == Constants.MAX_PLANNED_JOBS) {
         break;
       }
       int waitingTasks = job.runnableTasks() - job.placedCount();
-      int maxTasks = Math.min(waitingTasks, Constants.CLAIM_TASKS);
+      int maxTasks = Math.min(waitingTasks, Constants.MAX_PLANNED_TASKS_PER_JOB);
       int tasks = capacity.countFitting(job, job.shard, maxTasks);
       Resources unused =
           shares
--- a/src/main/java/dunlincroft/coordination/StartConditions.java
+++ b/src/main/java/dunlincroft/coordination/StartConditions.java
@@ -112,7 +112,7 @@
     if (!cluster.conditions.active()) {
       return machinesWithStops;
     }
-    int movesLeft = Constants.MOVES_AT_ONCE;
+    int movesLeft = Constants.MAX_CONCURRENT_MOVES;
     for (JobRun job : cluster.jobs.values()) {
       if (!job.placed.isEmpty() && mayStart(job) && job.migrationSides != null && movesLeft > 0) {
         movesLeft -= moveOneReplica(job, machinesWithStops);
--- a/src/main/java/dunlincroft/coordination/StatusQuery.java
+++ b/src/main/java/dunlincroft/coordination/StatusQuery.java
@@ -30,7 +30,7 @@
   /** Sends one query; {@code onAnswer} gets the outcome, also when there is no response. */
   static void query(Env env, String host, String endpoint, Consumer<Answer> onAnswer) {
     env.call(
-        new Env.Call(endpoint, "GET", Wire.STATUS, null, Constants.WORKER_CALL_MS),
+        new Env.Call(endpoint, "GET", Wire.STATUS, null, Constants.WORKER_CALL_TIMEOUT_MS),
         reply -> onAnswer.accept(new Answer(host, reply)));
   }
 }
--- a/src/main/java/dunlincroft/coordination/WorkerOrders.java
+++ b/src/main/java/dunlincroft/coordination/WorkerOrders.java
@@ -76,7 +76,7 @@
     for (Placement placement : machine.placements.values()) {
       if (placement.recorded && !placement.inLastReport) {
         if (!placement.stopRequested) {
-          if (cluster.feed.stalenessMs() > Constants.STALE_MS) {
+          if (cluster.feed.stalenessMs() > Constants.MAX_STALENESS_MS) {
             continue; // Without the state service nothing is started; what runs continues.
           }
           if (fence > cluster.replica.revision()) {
@@ -99,7 +99,9 @@
         || (needsProof && machine.session.isUnresolved(fence))) {
       fences.raise(machine);
     }
-    return orders.size() > Constants.MAX_ORDERS ? orders.subList(0, Constants.MAX_ORDERS) : orders;
+    return orders.size() > Constants.MAX_ORDERS_PER_MESSAGE
+        ? orders.subList(0, Constants.MAX_ORDERS_PER_MESSAGE)
+        : orders;
   }
 
   /**
@@ -110,7 +112,7 @@
     if (!machine.hasDeferredStarts) {
       machine.hasDeferredStarts = true;
       cluster.env.after(
-          Constants.PLACE_MS,
+          Constants.PLACEMENT_INTERVAL_MS,
           () -> {
             machine.hasDeferredStarts = false;
             if (cluster.machines.get(machine.host) == machine) {
--- a/src/main/java/dunlincroft/coordination/ZoneOutageDetector.java
+++ b/src/main/java/dunlincroft/coordination/ZoneOutageDetector.java
@@ -27,7 +27,7 @@
     int silent;
 
     boolean isMost(int part) {
-      return part >= Constants.ZONE_PART * (reachable + silent);
+      return part >= Constants.ZONE_OUTAGE_FRACTION * (reachable + silent);
     }
   }
 
@@ -51,7 +51,7 @@
   /** Updates the state of all zones; called before the machines are checked one by one. */
   void tick() {
     Map<String, Reachability> zones = new HashMap<>();
-    long suspectMs = cluster.reportIntervalsMs(Constants.SUSPECT_REPORTS);
+    long suspectMs = cluster.reportIntervalsMs(Constants.SUSPECT_REPORT_INTERVALS);
     for (Machine machine : cluster.machines.values()) {
       boolean isReachable =
           machine.session.hasReported()
@@ -82,7 +82,8 @@
                 reachability.reachable);
             cutOffZones.remove(zone);
             recoveringUntilMs.put(
-                zone, cluster.now() + cluster.reportIntervalsMs(Constants.DEAD_REPORTS));
+                zone,
+                cluster.now() + cluster.reportIntervalsMs(Constants.RELEASE_REPORT_INTERVALS));
           }
         });
     cutOffZones.retainAll(zones.keySet());
@@ -104,7 +105,7 @@
    */
   private boolean outageBegins(
       String zone, Reachability reachability, Map<String, Reachability> zones) {
-    return reachability.silent >= Constants.ZONE_LEAST
+    return reachability.silent >= Constants.MIN_ZONE_OUTAGE_MACHINES
         && reachability.isMost(reachability.silent)
         && zones.size() > 1
         && zones.entrySet().stream()
@@ -132,24 +133,27 @@
     }
     if (!cutOffZones.contains(machine.zone)) {
       return cluster.reportIntervalsMs(
-          manySilent ? Constants.DEAD_MANY_REPORTS : Constants.DEAD_REPORTS);
+          manySilent
+              ? Constants.MANY_SILENT_RELEASE_INTERVALS
+              : Constants.RELEASE_REPORT_INTERVALS);
     }
-    long leaseMs = (long) (cluster.settings.leaseS() * 1000);
+    long leaseMs = (long) (cluster.settings.workerLeaseS() * 1000);
     if (!machine.hasService()) {
       // Its tasks are lost when its lease expires. Afterwards the machine is kept for as long as a
       // replacement would take to boot: the outage may last that long, or end at any moment.
       long bootMs = machine.type == null ? 0 : (long) (machine.type.startupS() * 1000);
-      return Math.max(cluster.reportIntervalsMs(Constants.DEAD_MANY_REPORTS), leaseMs + bootMs);
+      return Math.max(
+          cluster.reportIntervalsMs(Constants.MANY_SILENT_RELEASE_INTERVALS), leaseMs + bootMs);
     }
     // Releases are spread out, as the images of the services are fetched by few machines, whose
     // bandwidth is shared.
     long answeredMs =
         membership.isAcquiredFrom(machine.shard, machine.zone) ? cluster.maxCancellationLagMs() : 0;
-    long latestMs = leaseMs + answeredMs - Constants.ZONE_LEAD_MS;
+    long latestMs = leaseMs + answeredMs - Constants.ZONE_RELEASE_LEAD_MS;
     double spreadFraction = (Hashing.of(machine.host) >>> 11) * 0x1p-53;
     return Math.max(
-        cluster.reportIntervalsMs(Constants.DEAD_REPORTS),
-        latestMs - (long) (spreadFraction * Constants.ZONE_TURNS * leaseMs));
+        cluster.reportIntervalsMs(Constants.RELEASE_REPORT_INTERVALS),
+        latestMs - (long) (spreadFraction * Constants.ZONE_RELEASE_SPREAD * leaseMs));
   }
 
   /**
--- a/src/main/java/dunlincroft/documents/DocumentStore.java
+++ b/src/main/java/dunlincroft/documents/DocumentStore.java
@@ -151,7 +151,7 @@
   private Set<String> pageKeys(String name) throws Unreachable, MalformedException {
     Set<String> keys = new HashSet<>();
     String under = Wire.key(Replica.DOCUMENT_PAGES, name + "/");
-    String path = Wire.KEYS + "?under=" + under + "&most=" + Constants.KEY_PAGE;
+    String path = Wire.KEYS + "?under=" + under + "&most=" + Constants.KEY_PAGE_ENTRIES;
     String since = "";
     boolean more = true;
     while (more) {
@@ -225,7 +225,7 @@
           }
         });
     boolean outcomeUnknown = false;
-    for (int tries = 0; tries < Constants.DOCUMENT_TRIES; tries++) {
+    for (int tries = 0; tries < Constants.DOCUMENT_ATTEMPTS; tries++) {
       Answer answer = client.call("POST", Wire.TRANSACTION, body);
       if (answer.status == 200) {
         return;
--- a/src/main/java/dunlincroft/documents/Documents.java
+++ b/src/main/java/dunlincroft/documents/Documents.java
@@ -67,7 +67,7 @@
     ObjectNode manifest = Cbor.map();
     manifest.putArray("versions");
     versions.stream()
-        .skip(Math.max(0, versions.size() - Constants.VERSIONS_KEPT))
+        .skip(Math.max(0, versions.size() - Constants.MAX_DOCUMENT_VERSIONS))
         .forEach(
             kept ->
                 manifest
@@ -82,7 +82,10 @@
 
   /** Splits a text into pages that fit into a value of this many bytes, whatever the characters. */
   public static List<String> pages(String text, int valueBytes) {
-    int pageChars = Math.max(1, (valueBytes - Constants.PAGE_FRAME_BYTES) / Constants.CHAR_BYTES);
+    int pageChars =
+        Math.max(
+            1,
+            (valueBytes - Constants.DOCUMENT_PAGE_OVERHEAD_BYTES) / Constants.MAX_JSON_CHAR_BYTES);
     List<String> pages = new ArrayList<>();
     for (int offset = 0; offset < text.length(); offset += pageChars) {
       pages.add(text.substring(offset, Math.min(text.length(), offset + pageChars)));
--- a/src/main/java/dunlincroft/documents/RateLimitedStateClient.java
+++ b/src/main/java/dunlincroft/documents/RateLimitedStateClient.java
@@ -24,7 +24,7 @@
   private final HttpClient client =
       HttpClient.newBuilder()
           .version(HttpClient.Version.HTTP_1_1)
-          .connectTimeout(Duration.ofMillis(Constants.CONNECT_MS))
+          .connectTimeout(Duration.ofMillis(Constants.CONNECT_TIMEOUT_MS))
           .build();
   private final String address;
 
@@ -40,7 +40,7 @@
       throws DocumentStore.Unreachable {
     HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create("http://" + address + path))
-            .timeout(Duration.ofMillis(Constants.STATE_CALL_MS))
+            .timeout(Duration.ofMillis(Constants.STATE_CALL_TIMEOUT_MS))
             .method(
                 method,
                 body == null
@@ -49,8 +49,8 @@
     if (body != null) {
       request.header("Content-Type", "application/cbor");
     }
-    long pause = body == null ? Constants.POLITE_READ_MS : Constants.POLITE_CHANGE_MS;
-    for (int tries = 0; tries < Constants.DOCUMENT_TRIES; tries++) {
+    long pause = body == null ? Constants.COMMAND_READ_PAUSE_MS : Constants.COMMAND_WRITE_PAUSE_MS;
+    for (int tries = 0; tries < Constants.DOCUMENT_ATTEMPTS; tries++) {
       try {
         Thread.sleep(pause);
         HttpResponse<byte[]> response = client.send(request.build(), BodyHandlers.ofByteArray());
--- a/src/main/java/dunlincroft/membership/BlockLeases.java
+++ b/src/main/java/dunlincroft/membership/BlockLeases.java
@@ -77,12 +77,12 @@
     boolean isGrowing = shards.size() < target;
     boolean isShrinking =
         shards.size() > target
-            && machines < (shards.size() - 1) * machinesPerShard * Constants.FEWER_HOLDERS;
+            && machines < (shards.size() - 1) * machinesPerShard * Constants.OWNER_REMOVAL_FRACTION;
     if (item != null
         && !isGrowing
         && !isShrinking
-        && item.data().path("until").asLong() - wallMs > Constants.LEASE_TERM_MS / 2
-        && item.data().path("until").asLong() - wallMs <= Constants.LEASE_TERM_MS) {
+        && item.data().path("until").asLong() - wallMs > Constants.BLOCK_LEASE_MS / 2
+        && item.data().path("until").asLong() - wallMs <= Constants.BLOCK_LEASE_MS) {
       return;
     }
     if (shards.isEmpty()) {
@@ -92,7 +92,7 @@
     } else if (isShrinking) {
       shards.remove(shards.size() - 1);
     }
-    ObjectNode lease = Cbor.map().put("until", wallMs + Constants.LEASE_TERM_MS);
+    ObjectNode lease = Cbor.map().put("until", wallMs + Constants.BLOCK_LEASE_MS);
     shards.forEach(lease.putArray("holders")::add);
     context
         .store()
--- a/src/main/java/dunlincroft/membership/FailureDetector.java
+++ b/src/main/java/dunlincroft/membership/FailureDetector.java
@@ -128,7 +128,7 @@
    */
   public void recordWritten(String node, long nowMs) {
     Peer peer = peers.get(node);
-    if (peer != null && nowMs - peer.heartbeatAt > Constants.RECORD_LAG_MS) {
+    if (peer != null && nowMs - peer.heartbeatAt > Constants.MAX_RECORD_LAG_MS) {
       markAlive(node, peer, "it writes records", nowMs);
     }
   }
@@ -163,7 +163,7 @@
 
   /** Ticks of this process ran late: suspicions of others are less reliable for a while. */
   public void ticksDelayed(long nowMs) {
-    localHealth = Math.min(Constants.UNWELL_MOST, localHealth + 1);
+    localHealth = Math.min(Constants.MAX_LOCAL_HEALTH, localHealth + 1);
     healthChangedAt = nowMs;
   }
 
@@ -171,7 +171,7 @@
 
   /** Evaluates all peers; called a few times a second. */
   public void tick(long nowMs) {
-    if (localHealth > 0 && nowMs - healthChangedAt >= Constants.HEAL_MS) {
+    if (localHealth > 0 && nowMs - healthChangedAt >= Constants.LOCAL_HEALTH_RECOVERY_MS) {
       localHealth--;
       healthChangedAt = nowMs;
     }
@@ -180,7 +180,7 @@
     if (2 * trusted < peers.size()) {
       isolatedAt = nowMs;
     }
-    isolated = nowMs - isolatedAt < Constants.PEER_LOST_MS;
+    isolated = nowMs - isolatedAt < Constants.LOST_PEER_SILENCE_MS;
   }
 
   private void evaluate(String node, Peer peer, long nowMs) {
@@ -206,10 +206,10 @@
             && observation.suspected()) {
           suspecting++;
           refusing += observation.refusesConnections() ? 1 : 0;
-          missing += observation.silentMs() >= Constants.PEER_LOST_MS ? 1 : 0;
+          missing += observation.silentMs() >= Constants.LOST_PEER_SILENCE_MS ? 1 : 0;
         }
       }
-      boolean ended = isMajority(refusing) && silent >= Constants.PEER_GONE_MS;
+      boolean ended = isMajority(refusing) && silent >= Constants.ENDED_PEER_SILENCE_MS;
       if (ended || (isMajority(missing) && silent >= condemnAfterMs(peer))) {
         peer.state = PeerState.CONDEMNED;
         peer.processEnded = ended;
@@ -230,7 +230,7 @@
 
   /** Milliseconds of silence that no pause explains, given the intervals learnt. */
   private double condemnAfterMs(Peer peer) {
-    return Math.max(Constants.PEER_LOST_MS, suspectAfterMs(peer));
+    return Math.max(Constants.LOST_PEER_SILENCE_MS, suspectAfterMs(peer));
   }
 
   private double suspectAfterMs(Peer peer) {
--- a/src/main/java/dunlincroft/membership/HeartbeatIntervals.java
+++ b/src/main/java/dunlincroft/membership/HeartbeatIntervals.java
@@ -13,14 +13,14 @@
   private static final double SILENT_DEVIATIONS = standardDeviations(Constants.SUSPECT_PHI);
   private static final double REFUSED_DEVIATIONS = standardDeviations(Constants.REFUSED_PHI);
 
-  private final double[] window = new double[Constants.BEATS_KEPT];
+  private final double[] window = new double[Constants.HEARTBEAT_WINDOW];
   private int next;
 
   HeartbeatIntervals() {
     // Initial values: the configured interval, and every eighth heartbeat twice as late.
-    Arrays.fill(window, Constants.LINK_BEAT_MS);
+    Arrays.fill(window, Constants.PEER_HEARTBEAT_MS);
     for (int i = 0; i < window.length; i += 8) {
-      window[i] = 2 * Constants.LINK_BEAT_MS;
+      window[i] = 2 * Constants.PEER_HEARTBEAT_MS;
     }
   }
 
@@ -30,7 +30,7 @@
    * faster than it is.
    */
   void add(long ms) {
-    if (ms >= Constants.LINK_BEAT_MS / 2 && ms <= Constants.PAUSE_MS) {
+    if (ms >= Constants.PEER_HEARTBEAT_MS / 2 && ms <= Constants.MAX_HEARTBEAT_INTERVAL_MS) {
       window[next] = ms;
       next = (next + 1) % window.length;
     }
@@ -42,7 +42,7 @@
 
   private double deviation(double mean) {
     double squares = Arrays.stream(window).map(ms -> (ms - mean) * (ms - mean)).sum();
-    return Math.max(Constants.BEAT_DEVIATION_MS, Math.sqrt(squares / window.length));
+    return Math.max(Constants.MIN_HEARTBEAT_DEVIATION_MS, Math.sqrt(squares / window.length));
   }
 
   private static double standardDeviations(double phi) {
--- a/src/main/java/dunlincroft/membership/LowWatermark.java
+++ b/src/main/java/dunlincroft/membership/LowWatermark.java
@@ -27,8 +27,8 @@
  * <p>A controller that ends during an outage of the state service should not stop it. Therefore a
  * controller that has been disconnected from the state service for long suspends acknowledgements:
  * each of its heartbeats announces that it acknowledges no further cancellation for {@link
- * Constants#PROMISE_MS}, or until all others have received a later heartbeat that announces no
- * suspension. Every process also starts suspended. A suspension closes its sender's
+ * Constants#ACK_SUSPENSION_MS}, or until all others have received a later heartbeat that announces
+ * no suspension. Every process also starts suspended. A suspension closes its sender's
  * acknowledgements in advance; if the next instance is heard before it ends, all acknowledgements
  * of the former one are known.
  *
@@ -69,7 +69,7 @@
     private long echoedAt = NEVER;
 
     private long suspendedUntil() {
-      return suspendedAt == NEVER ? NEVER : suspendedAt + Constants.PROMISE_MS;
+      return suspendedAt == NEVER ? NEVER : suspendedAt + Constants.ACK_SUSPENSION_MS;
     }
   }
 
@@ -112,7 +112,7 @@
    */
   boolean canAcknowledge(long revision, long nowMs) {
     return acknowledged.containsKey(revision)
-        || nowMs - suspendedAt > Constants.PROMISE_MS + Constants.PROMISE_MARGIN_MS
+        || nowMs - suspendedAt > Constants.ACK_SUSPENSION_MS + Constants.ACK_SUSPENSION_MARGIN_MS
         || peers.values().stream().allMatch(peer -> peer.echoedAt > suspendedAt);
   }
 
@@ -123,7 +123,7 @@
   void recordAcknowledgement(String job, long revision) {
     if (revision > forgottenUpTo) {
       acknowledged.put(revision, job);
-      if (acknowledged.size() > Constants.TOLD_KEPT) {
+      if (acknowledged.size() > Constants.MAX_ACKNOWLEDGED_CANCELLATIONS) {
         forgottenUpTo = acknowledged.pollFirstEntry().getKey();
       }
     }
@@ -146,7 +146,7 @@
       if (peer.sentAt > 0) {
         echoes.add(new HeartbeatEcho(entry.getKey(), peer.instanceId, peer.sentAt));
       }
-      if (peer.isDisconnected && nowMs - peer.lastHeardAt < Constants.HANDED_ON_MS) {
+      if (peer.isDisconnected && nowMs - peer.lastHeardAt < Constants.CANCELLATION_RELAY_MS) {
         above = Math.min(above, Math.max(forgottenUpTo, peer.revision));
       }
     }
@@ -158,7 +158,7 @@
   }
 
   private static boolean isSuspending(long stateSilentMs) {
-    return stateSilentMs > Constants.STALE_MS;
+    return stateSilentMs > Constants.MAX_STALENESS_MS;
   }
 
   // ---- receiving ----
@@ -192,7 +192,7 @@
     peer.sentAt = Math.max(peer.sentAt, report.sentAt());
     peer.revision = report.readRevision();
     peer.lastHeardAt = nowMs;
-    peer.isDisconnected = heartbeat.stateSilentMs() > Constants.STALE_MS / 2;
+    peer.isDisconnected = heartbeat.stateSilentMs() > Constants.MAX_STALENESS_MS / 2;
     boolean suspends = isSuspending(heartbeat.stateSilentMs());
     if (isNewest && !suspends) {
       peer.suspendedAt = NEVER;
--- a/src/main/java/dunlincroft/membership/Membership.java
+++ b/src/main/java/dunlincroft/membership/Membership.java
@@ -35,7 +35,7 @@
     this.context = context;
     this.listener = listener;
     TreeSet<String> all = new TreeSet<>();
-    context.settings().others().forEach(peer -> all.add(peer.node()));
+    context.settings().peers().forEach(peer -> all.add(peer.nodeName()));
     detector = new FailureDetector(context.name(), all, context.now());
     all.add(context.name());
     names = List.copyOf(all);
@@ -71,7 +71,7 @@
   public void tick() {
     detector.tick(context.now());
     refute();
-    if (context.feed().stalenessMs() > Constants.STALE_MS) {
+    if (context.feed().stalenessMs() > Constants.MAX_STALENESS_MS) {
       // This node is itself disconnected, perhaps with its zone: that workers of the zone do not
       // reach an owner elsewhere says nothing about that owner.
       suspicions.forgetAll();
@@ -96,7 +96,7 @@
       sessionLease.refute(suspectedAt);
     } else if (detector.isIsolated()
         && blockLeases.currentShards().stream().anyMatch(listener::owns)
-        && context.now() - refutedAt > Constants.REFUTE_MS) {
+        && context.now() - refutedAt > Constants.REFUTATION_INTERVAL_MS) {
       refutedAt = context.now();
       sessionLease.refute(sessionLease.refutations());
     }
@@ -209,9 +209,9 @@
   public boolean isOnlySilentZone(String zone) {
     int heard = 0;
     int silent = 0;
-    for (Settings.Peer peer : context.settings().others()) {
-      boolean trusted = detector.state(peer.node()) == PeerState.TRUSTED;
-      if (peer.site().equals(zone)) {
+    for (Settings.Peer peer : context.settings().peers()) {
+      boolean trusted = detector.state(peer.nodeName()) == PeerState.TRUSTED;
+      if (peer.zone().equals(zone)) {
         if (trusted) {
           return false;
         }
@@ -220,16 +220,16 @@
         silent += trusted ? 0 : 1;
       }
     }
-    return !zone.equals(context.settings().site()) && heard >= silent;
+    return !zone.equals(context.settings().zone()) && heard >= silent;
   }
 
   /**
    * Milliseconds since any controller of a zone was heard; 0 for a zone without other controllers.
    */
   public long zoneSilentMs(String zone) {
-    return context.settings().others().stream()
-        .filter(peer -> peer.site().equals(zone))
-        .mapToLong(peer -> detector.silentMs(peer.node(), context.now()))
+    return context.settings().peers().stream()
+        .filter(peer -> peer.zone().equals(zone))
+        .mapToLong(peer -> detector.silentMs(peer.nodeName(), context.now()))
         .min()
         .orElse(0);
   }
@@ -248,8 +248,8 @@
    * that has just started has not.
    */
   public boolean hasActivePeers() {
-    return context.settings().others().stream()
-        .map(Settings.Peer::node)
+    return context.settings().peers().stream()
+        .map(Settings.Peer::nodeName)
         .anyMatch(
             peer ->
                 detector.state(peer) == PeerState.TRUSTED
@@ -262,13 +262,13 @@
    * service, too.
    */
   public boolean areAllPeersDisconnected() {
-    return context.settings().others().stream()
-        .map(Settings.Peer::node)
+    return context.settings().peers().stream()
+        .map(Settings.Peer::nodeName)
         .allMatch(
             peer ->
                 detector.state(peer) == PeerState.TRUSTED
                     && detector.heartbeat(peer) != null
-                    && detector.heartbeat(peer).stateSilentMs() > Constants.STALE_MS / 2);
+                    && detector.heartbeat(peer).stateSilentMs() > Constants.MAX_STALENESS_MS / 2);
   }
 
   /**
@@ -277,8 +277,8 @@
    */
   public boolean isCommonOutage() {
     List<String> heard =
-        context.settings().others().stream()
-            .map(Settings.Peer::node)
+        context.settings().peers().stream()
+            .map(Settings.Peer::nodeName)
             .filter(
                 peer ->
                     detector.state(peer) == PeerState.TRUSTED && detector.heartbeat(peer) != null)
@@ -288,7 +288,8 @@
 
   private boolean isConnected(String peer) {
     PeerHeartbeat heartbeat = detector.heartbeat(peer);
-    return heartbeat.incarnation() != 0 && heartbeat.stateSilentMs() <= Constants.STALE_MS / 2;
+    return heartbeat.incarnation() != 0
+        && heartbeat.stateSilentMs() <= Constants.MAX_STALENESS_MS / 2;
   }
 
   // ---- records ----
@@ -396,7 +397,7 @@
     boolean suspected =
         owner != null && detector.state(owner) != PeerState.TRUSTED && !detector.isIsolated();
     return suspicions.recordRedirect(host, suspected, context.now())
-        && suspicions.count(shard, context.now()) < Constants.ACCUSE_COUNT;
+        && suspicions.count(shard, context.now()) < Constants.MIN_SUSPICION_REPORTS;
   }
 
   /** A worker that answers this node does not reach the owner of its shard. */
--- a/src/main/java/dunlincroft/membership/NodeContext.java
+++ b/src/main/java/dunlincroft/membership/NodeContext.java
@@ -10,7 +10,7 @@
 public record NodeContext(
     Settings settings, Env env, StateStore store, Replica replica, ChangeFeed feed) {
   String name() {
-    return settings.node();
+    return settings.nodeName();
   }
 
   /** Monotonic clock, in milliseconds. */
--- a/src/main/java/dunlincroft/membership/RateSharing.java
+++ b/src/main/java/dunlincroft/membership/RateSharing.java
@@ -33,10 +33,10 @@
     measuredAt = context.now();
     demand = context.store().demand(Math.max(seconds, 0.001));
     List<RateDemand> others = new ArrayList<>();
-    for (Settings.Peer peer : context.settings().others()) {
-      PeerHeartbeat heartbeat = detector.heartbeat(peer.node());
+    for (Settings.Peer peer : context.settings().peers()) {
+      PeerHeartbeat heartbeat = detector.heartbeat(peer.nodeName());
       boolean isAlive =
-          heartbeat != null && context.replica().get(Replica.CONTROLLERS, peer.node()) != null;
+          heartbeat != null && context.replica().get(Replica.CONTROLLERS, peer.nodeName()) != null;
       others.add(
           isAlive
               ? new RateDemand(heartbeat.requestDemand(), heartbeat.writeDemand())
--- a/src/main/java/dunlincroft/membership/SessionLease.java
+++ b/src/main/java/dunlincroft/membership/SessionLease.java
@@ -64,13 +64,13 @@
                     incarnation = id;
                     LOG.info("node {} is incarnation {}", context.name(), incarnation);
                   }
-                  context.env().after(Constants.HOLD_TOUCH_MS, this::renew);
+                  context.env().after(Constants.SESSION_RENEWAL_MS, this::renew);
                   return;
                 }
               } catch (MalformedException e) {
                 LOG.info("malformed answer to the request for a session lease: {}", e.getMessage());
               }
-              context.env().after(Constants.HOLD_RETRY_MS, this::start);
+              context.env().after(Constants.SESSION_RETRY_MS, this::start);
             });
   }
 
@@ -89,7 +89,8 @@
                 context
                     .env()
                     .after(
-                        isRenewed ? Constants.HOLD_TOUCH_MS : Constants.HOLD_RETRY_MS, this::renew);
+                        isRenewed ? Constants.SESSION_RENEWAL_MS : Constants.SESSION_RETRY_MS,
+                        this::renew);
               }
             });
   }
--- a/src/main/java/dunlincroft/membership/ShardOwnership.java
+++ b/src/main/java/dunlincroft/membership/ShardOwnership.java
@@ -57,9 +57,9 @@
     this.blockLeases = blockLeases;
     this.suspicions = suspicions;
     this.listener = listener;
-    zones.put(context.name(), context.settings().site());
-    for (Settings.Peer peer : context.settings().others()) {
-      zones.put(peer.node(), peer.site());
+    zones.put(context.name(), context.settings().zone());
+    for (Settings.Peer peer : context.settings().peers()) {
+      zones.put(peer.nodeName(), peer.zone());
     }
   }
 
@@ -162,7 +162,7 @@
     if (reports >= 1 && detector.state(owner) == PeerState.SUSPECTED && !detector.isIsolated()) {
       return owner + " is suspected and its workers report to this node";
     }
-    return reports >= Constants.ACCUSE_COUNT ? "workers do not reach " + owner : null;
+    return reports >= Constants.MIN_SUSPICION_REPORTS ? "workers do not reach " + owner : null;
   }
 
   /** This node's position in the succession to an owner; 0 is the first. */
@@ -205,7 +205,7 @@
           }
           if (!result.ok()) {
             LOG.info("shard {} not acquired: {}", shard, result.outcome());
-            nextAttemptAt = context.now() + Constants.TAKEOVER_PAUSE_MS / 2;
+            nextAttemptAt = context.now() + Constants.TAKEOVER_COOLDOWN_MS / 2;
             context.feed().barrier(ok -> {});
           }
         });
@@ -223,7 +223,7 @@
         sessionRecord != null
             && heartbeat != null
             && detector.state(shard) == PeerState.TRUSTED
-            && heartbeat.stateSilentMs() < Constants.STALE_MS
+            && heartbeat.stateSilentMs() < Constants.MAX_STALENESS_MS
             && heartbeat.incarnation() == sessionRecord.data().path("incarnation").asLong();
     if (!isHealthy || !listener.owns(shard) || shard.equals(context.name())) {
       healthySince.remove(shard);
@@ -233,7 +233,7 @@
     boolean ownsOtherLeased =
         leased.contains(shard)
             && leased.stream().anyMatch(other -> !other.equals(shard) && listener.owns(other));
-    if (!ownsOtherLeased || context.now() - since < Constants.HANDBACK_MS) {
+    if (!ownsOtherLeased || context.now() - since < Constants.SHARD_RETURN_DELAY_MS) {
       return;
     }
     healthySince.remove(shard);
@@ -305,13 +305,14 @@
    */
   private void startCooldown(String shard) {
     long now = context.now();
-    boolean isRecent = now - cooldownUntil.getOrDefault(shard, 0L) < Constants.TAKEOVER_CALM_MS;
+    boolean isRecent =
+        now - cooldownUntil.getOrDefault(shard, 0L) < Constants.MAX_TAKEOVER_COOLDOWN_MS;
     long cooldown =
         isRecent
             ? Math.min(
-                Constants.TAKEOVER_CALM_MS,
-                2 * cooldowns.getOrDefault(shard, Constants.TAKEOVER_PAUSE_MS))
-            : Constants.TAKEOVER_PAUSE_MS;
+                Constants.MAX_TAKEOVER_COOLDOWN_MS,
+                2 * cooldowns.getOrDefault(shard, Constants.TAKEOVER_COOLDOWN_MS))
+            : Constants.TAKEOVER_COOLDOWN_MS;
     cooldowns.put(shard, cooldown);
     cooldownUntil.put(shard, now + cooldown);
     suspicions.forget(shard);
--- a/src/main/java/dunlincroft/membership/SuspicionReports.java
+++ b/src/main/java/dunlincroft/membership/SuspicionReports.java
@@ -11,13 +11,14 @@
 
   /**
    * Records that a worker reported here and is being redirected to its owner. Returns whether that
-   * is evidence against the owner: the worker returned within {@link Constants#ACCUSE_WINDOW_MS},
-   * or the owner is {@code suspected} anyway. The fault may be on the worker's side: the caller
-   * must check that the worker answers before it calls {@link #reportUnreachable}.
+   * is evidence against the owner: the worker returned within {@link
+   * Constants#SUSPICION_WINDOW_MS}, or the owner is {@code suspected} anyway. The fault may be on
+   * the worker's side: the caller must check that the worker answers before it calls {@link
+   * #reportUnreachable}.
    */
   boolean recordRedirect(String host, boolean suspected, long nowMs) {
     Long previous = redirectedAt.put(host, nowMs);
-    boolean isRepeated = previous != null && nowMs - previous < Constants.ACCUSE_WINDOW_MS;
+    boolean isRepeated = previous != null && nowMs - previous < Constants.SUSPICION_WINDOW_MS;
     return isRepeated || suspected;
   }
 
@@ -32,7 +33,7 @@
     if (hosts == null) {
       return 0;
     }
-    hosts.values().removeIf(reportedAt -> nowMs - reportedAt > Constants.ACCUSE_WINDOW_MS);
+    hosts.values().removeIf(reportedAt -> nowMs - reportedAt > Constants.SUSPICION_WINDOW_MS);
     return hosts.size();
   }
 
--- a/src/main/java/dunlincroft/migration/MigrationLedger.java
+++ b/src/main/java/dunlincroft/migration/MigrationLedger.java
@@ -267,7 +267,7 @@
     if (whole(migration)) {
       return migration.to(next, env.wallMillis());
     }
-    if (since > Constants.ILL_SOAKS * soakMs && migration.phase() != Phase.BACK) {
+    if (since > Constants.UNHEALTHY_SOAK_FACTOR * soakMs && migration.phase() != Phase.BACK) {
       LOG.info(
           "migration {}: {} is not whole after {} s",
           migration.workload().name(),
--- a/src/main/java/dunlincroft/migration/Workload.java
+++ b/src/main/java/dunlincroft/migration/Workload.java
@@ -76,8 +76,8 @@
             Fields.textOrNull(select, "prefix"),
             Side.parse(map.path("old")),
             Side.parse(map.path("new")),
-            Fields.amountOr(map, "canary", Constants.CANARY),
-            Fields.amountOr(map, "share", Constants.BOTH_SHARE),
+            Fields.amountOr(map, "canary", Constants.CANARY_FRACTION),
+            Fields.amountOr(map, "share", Constants.BOTH_PHASE_FRACTION),
             Fields.amountOr(map, "soak_s", Constants.SOAK_S),
             "back".equals(Fields.textOrNull(map, "when_ill")));
     String ill = Fields.textOrNull(map, "when_ill");
--- a/src/main/java/dunlincroft/operators/Setting.java
+++ b/src/main/java/dunlincroft/operators/Setting.java
@@ -6,16 +6,21 @@
 
 /** What operators may set, of what it may depend on, and the range its value is kept in. */
 enum Setting {
-  BOUND("bound", Scope.MACHINE, Constants.BOUND_LEAST, 1, Constants.BOUND),
-  BUFFER("buffer", Scope.JOB, 0, Constants.BUFFER_MOST, Constants.BUFFER),
-  RESERVE("reserve", Scope.MACHINE, 0, 1 - Constants.BOUND_LEAST, Constants.SERVICE_RESERVE),
-  SPARE("spare", Scope.TYPE, 0, Constants.SPARE_MOST, Constants.SPARE),
-  RENTALS_MOST("rentals_most", Scope.TYPE, 0, Constants.RENTALS_MOST, Constants.RENTALS_MOST),
+  BOUND("bound", Scope.MACHINE, Constants.MIN_LOAD_BOUND, 1, Constants.LOAD_BOUND),
+  BUFFER("buffer", Scope.JOB, 0, Constants.MAX_LOAD_BUFFER, Constants.LOAD_BUFFER),
+  RESERVE("reserve", Scope.MACHINE, 0, 1 - Constants.MIN_LOAD_BOUND, Constants.SERVICE_RESERVE),
+  SPARE("spare", Scope.TYPE, 0, Constants.MAX_SPARE_MACHINES, Constants.SPARE_MACHINES),
+  RENTALS_MOST(
+      "rentals_most", Scope.TYPE, 0, Constants.MAX_RENTED_MACHINES, Constants.MAX_RENTED_MACHINES),
   PREEMPT_LOSS_S(
-      "preempt_loss_s", Scope.JOB, 0, Constants.PREEMPT_LOSS_MOST_S, Constants.PREEMPT_LOSS_S),
+      "preempt_loss_s", Scope.JOB, 0, Constants.MAX_PREEMPT_LOSS_S, Constants.PREEMPT_LOSS_S),
   SPOT("spot", Scope.JOB),
   HOLDER_MACHINES(
-      "holder_machines", Scope.NONE, 1, Constants.RENTALS_MOST, Constants.MACHINES_PER_HOLDER);
+      "holder_machines",
+      Scope.NONE,
+      1,
+      Constants.MAX_RENTED_MACHINES,
+      Constants.MACHINES_PER_OWNER);
 
   /** Names that an expression may use, with their types. */
   enum Scope {
--- a/src/main/java/dunlincroft/protocol/JobSpec.java
+++ b/src/main/java/dunlincroft/protocol/JobSpec.java
@@ -82,8 +82,8 @@
       throw new MalformedException("ref must have the form run-000412");
     }
     long taskCount = Fields.count(map, "pieces");
-    if (taskCount < 1 || taskCount > Constants.MAX_PIECES) {
-      throw new MalformedException("pieces must be from 1 to " + Constants.MAX_PIECES);
+    if (taskCount < 1 || taskCount > Constants.MAX_TASKS_PER_JOB) {
+      throw new MalformedException("pieces must be from 1 to " + Constants.MAX_TASKS_PER_JOB);
     }
     String shape = text(map, "shape");
     boolean isService = shape.equals(Wire.DAEMON);
--- a/src/main/java/dunlincroft/transport/HttpClient.java
+++ b/src/main/java/dunlincroft/transport/HttpClient.java
@@ -113,7 +113,7 @@
               .option(ChannelOption.TCP_NODELAY, true)
               .option(
                   ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                  (int) Math.min(call.timeoutMs(), Constants.CONNECT_MS))
+                  (int) Math.min(call.timeoutMs(), Constants.CONNECT_TIMEOUT_MS))
               .handler(connection.initializer())
               .connect(Addresses.parse(address));
     } catch (IllegalArgumentException e) {
--- a/src/main/java/dunlincroft/transport/PeerLink.java
+++ b/src/main/java/dunlincroft/transport/PeerLink.java
@@ -218,7 +218,7 @@
   }
 
   byte[] encode(PeerHeartbeat heartbeat) {
-    Output out = new Output(64, Constants.LINK_FRAME_BYTES);
+    Output out = new Output(64, Constants.MAX_PEER_FRAME_BYTES);
     kryo.writeObject(out, heartbeat);
     return out.toBytes();
   }
@@ -236,7 +236,10 @@
     peers.forEach((node, address) -> connect(node, address));
     env.group()
         .scheduleWithFixedDelay(
-            () -> sendHeartbeat(connections), 0, Constants.LINK_BEAT_MS, TimeUnit.MILLISECONDS);
+            () -> sendHeartbeat(connections),
+            0,
+            Constants.PEER_HEARTBEAT_MS,
+            TimeUnit.MILLISECONDS);
     return new ServerBootstrap()
         .group(env.group())
         .channel(NioServerSocketChannel.class)
@@ -252,7 +255,7 @@
       @Override
       protected void initChannel(SocketChannel ch) {
         ch.pipeline()
-            .addLast(new LengthFieldBasedFrameDecoder(Constants.LINK_FRAME_BYTES, 0, 2, 0, 2))
+            .addLast(new LengthFieldBasedFrameDecoder(Constants.MAX_PEER_FRAME_BYTES, 0, 2, 0, 2))
             .addLast(new LengthFieldPrepender(2))
             .addLast(new FrameHandler(inbound));
       }
@@ -263,7 +266,7 @@
     new Bootstrap()
         .group(env.group())
         .channel(NioSocketChannel.class)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Constants.CONNECT_MS)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Constants.CONNECT_TIMEOUT_MS)
         .option(ChannelOption.TCP_NODELAY, true)
         .handler(initializer(false))
         .connect(address)
@@ -283,10 +286,10 @@
                     .addListener(
                         closed -> {
                           connections.remove(connection);
-                          scheduleConnect(node, address, Constants.LINK_AGAIN_MS);
+                          scheduleConnect(node, address, Constants.PEER_RECONNECT_MS);
                         });
               } else {
-                scheduleConnect(node, address, Constants.LINK_BEAT_MS);
+                scheduleConnect(node, address, Constants.PEER_HEARTBEAT_MS);
               }
             });
   }
--- a/src/main/java/dunlincroft/transport/Sockets.java
+++ b/src/main/java/dunlincroft/transport/Sockets.java
@@ -92,10 +92,13 @@
    *     regularly
    */
   Sockets(int processLimit, double maxRequestGapS) {
-    maxOpen = Math.max(1, (int) (processLimit * Constants.SOCKETS_PART) - Constants.SOCKETS_KEPT);
-    maxOpenForOrders = (int) (processLimit * Constants.ORDER_SOCKETS_PART);
-    scarceIdleSweeps = sweepsIn(Constants.PRESSED_QUIETS * maxRequestGapS);
-    servedIdleSweeps = sweepsIn(Constants.SERVED_QUIETS * maxRequestGapS);
+    maxOpen =
+        Math.max(
+            1,
+            (int) (processLimit * Constants.USABLE_SOCKETS_FRACTION) - Constants.RESERVED_SOCKETS);
+    maxOpenForOrders = (int) (processLimit * Constants.ORDER_SOCKETS_FRACTION);
+    scarceIdleSweeps = sweepsIn(Constants.SCARCE_IDLE_INTERVALS * maxRequestGapS);
+    servedIdleSweeps = sweepsIn(Constants.MAX_IDLE_INTERVALS * maxRequestGapS);
     for (Purpose purpose : Purpose.values()) {
       openCounts.put(purpose, 0);
       idleSockets.put(purpose, new LinkedHashSet<>());
@@ -156,12 +159,12 @@
    */
   void sweep() {
     sweeps++;
-    closeIdle(Purpose.ORDERS, sweepsIn(Constants.ORDERS_IDLE_S), Integer.MAX_VALUE);
+    closeIdle(Purpose.ORDERS, sweepsIn(Constants.ORDER_SOCKET_IDLE_S), Integer.MAX_VALUE);
     closeIdle(
         Purpose.SERVED,
         openCount() >= maxOpenForOrders ? scarceIdleSweeps : servedIdleSweeps,
         Integer.MAX_VALUE);
-    if (sweeps % (Constants.FIGURES_MS / Constants.SOCKET_SWEEP_MS) == 0) {
+    if (sweeps % (Constants.METRICS_INTERVAL_MS / Constants.SOCKET_SWEEP_MS) == 0) {
       LOG.info(
           "sockets: {} now, {} at most of {}; {} idle; {} refused, {} closed for others",
           openCounts,
--- a/src/test/java/dunlincroft/LayersTest.java
+++ b/src/test/java/dunlincroft/LayersTest.java
@@ -21,44 +21,56 @@
           "coordination",
           "front");
 
-  private static String in(String layer) {
+  private static String packageOf(String layer) {
     return "dunlincroft." + layer + "..";
   }
 
   @Test
   void eachLayerDependsOnlyDownward() {
-    JavaClasses all =
+    JavaClasses classes =
         new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("dunlincroft");
     for (int low = 0; low < LAYERS.size(); low++) {
       String[] above =
           LAYERS.subList(low + 1, LAYERS.size()).stream()
-              .map(LayersTest::in)
+              .map(LayersTest::packageOf)
               .toArray(String[]::new);
       if (above.length > 0) {
         noClasses()
             .that()
-            .resideInAPackage(in(LAYERS.get(low)))
+            .resideInAPackage(packageOf(LAYERS.get(low)))
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(above)
-            .check(all);
+            .check(classes);
       }
     }
     noClasses()
         .that()
-        .resideInAnyPackage(in("conditions"), in("documents"), in("calendar"), in("migration"))
+        .resideInAnyPackage(
+            packageOf("conditions"),
+            packageOf("documents"),
+            packageOf("calendar"),
+            packageOf("migration"))
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(in("membership"), in("admission"), in("coordination"), in("front"))
-        .check(all);
+        .resideInAnyPackage(
+            packageOf("membership"),
+            packageOf("admission"),
+            packageOf("coordination"),
+            packageOf("front"))
+        .check(classes);
     noClasses()
         .that()
-        .resideInAPackage(in("operators"))
+        .resideInAPackage(packageOf("operators"))
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(in("bookkeeping"), in("membership"), in("coordination"), in("front"))
-        .check(all);
+        .resideInAnyPackage(
+            packageOf("bookkeeping"),
+            packageOf("membership"),
+            packageOf("coordination"),
+            packageOf("front"))
+        .check(classes);
   }
 }
--- a/src/test/java/dunlincroft/MainTest.java
+++ b/src/test/java/dunlincroft/MainTest.java
@@ -43,7 +43,7 @@
 
   /** A library once made the first logger before the level was set, and it was ignored. */
   @Test
-  void logLevelIsObeyed() throws IOException {
+  void logLevelIsApplied() throws IOException {
     Path config = Files.writeString(folder.resolve("settings.json"), SETTINGS);
     Process process = start("debug", "--config", config.toString());
     try (BufferedReader lines = process.errorReader()) {
@@ -55,11 +55,11 @@
   }
 
   @Test
-  void faultySettingsEndWithTwo() throws IOException, InterruptedException {
+  void invalidOperatorSettingsExitWithTwo() throws IOException, InterruptedException {
     Path config = Files.writeString(folder.resolve("settings.json"), SETTINGS);
-    Path rules = Files.writeString(folder.resolve("operators"), "bound = 0;\n");
+    Path outOfRange = Files.writeString(folder.resolve("operators"), "bound = 0;\n");
     Path missing = folder.resolve("none");
-    for (Path operators : List.of(rules, missing, folder)) {
+    for (Path operators : List.of(outOfRange, missing, folder)) {
       Process process =
           start("info", "--operators", operators.toString(), "--config", config.toString());
       assertThat(process.waitFor(30, TimeUnit.SECONDS)).isTrue();
--- a/src/test/java/dunlincroft/SettingsTest.java
+++ b/src/test/java/dunlincroft/SettingsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class SettingsTest {
-  private static final String SOUND =
+  private static final String VALID =
       """
       {"node_name":"n0","site":"a","listen":"10.0.0.1:8080","back":"10.0.0.1:8081","later":1,
        "others":[{"node_name":"n1","site":"b","address":"10.0.0.2:8081"}],
@@ -22,10 +22,10 @@
       """;
 
   @Test
-  void aSoundFileIsReadAndUnknownFieldsAreIgnored() throws MalformedException {
-    Settings settings = Settings.parse(SOUND);
-    assertThat(settings.others()).hasSize(1);
-    assertThat(settings.state()).isEqualTo("10.2.0.1:2379");
+  void validFileIsParsedAndUnknownFieldsAreIgnored() throws MalformedException {
+    Settings settings = Settings.parse(VALID);
+    assertThat(settings.peers()).hasSize(1);
+    assertThat(settings.stateEndpoint()).isEqualTo("10.2.0.1:2379");
     assertThat(settings.teams().get("red").limit().gpu()).isEqualTo(2000);
     assertThat(settings.teams().get("red").limit().cpu())
         .as("a limit of 0 means none")
@@ -44,14 +44,14 @@
         "\"endpoints\" | \"ends\" | endpoints",
         "\"address\":\"10.0.0.2:8081\" | \"address\":7 | others.address"
       })
-  void aFaultNamesItsField(String good, String bad, String named) {
-    assertThatThrownBy(() -> Settings.parse(SOUND.replace(good, bad)))
+  void invalidFieldIsNamedInTheError(String valid, String invalid, String field) {
+    assertThatThrownBy(() -> Settings.parse(VALID.replace(valid, invalid)))
         .isInstanceOf(MalformedException.class)
-        .hasMessageContaining(named);
+        .hasMessageContaining(field);
   }
 
   @Test
-  void brokenJsonNamesItsPlace() {
+  void malformedJsonIsReportedWithItsLine() {
     assertThatThrownBy(() -> Settings.parse("{\n \"a\": }")).hasMessageContaining("line 2");
   }
 }
--- a/src/test/java/dunlincroft/admission/AdmissionTest.java
+++ b/src/test/java/dunlincroft/admission/AdmissionTest.java
@@ -51,7 +51,7 @@
     simulation.offer(ARRAYS, 100, 120_000);
     simulation.offer(OTHERS, 50, 120_000);
     simulation.clock.runUntil(120_000);
-    double floor = Constants.ADMISSION_FLOOR * CAPACITY * 120 / 3;
+    double floor = Constants.GUARANTEED_CAPACITY_FRACTION * CAPACITY * 120 / 3;
     assertThat(simulation.accepted(ARRAYS)).isGreaterThan((int) (0.8 * floor));
     assertThat(simulation.accepted(OTHERS)).isGreaterThan((int) (0.8 * floor));
     assertThat(simulation.accepted(SERVICES)).isGreaterThan(simulation.accepted(ARRAYS));
--- a/src/test/java/dunlincroft/admission/PlanTest.java
+++ b/src/test/java/dunlincroft/admission/PlanTest.java
@@ -83,8 +83,8 @@
     demand.forEach(
         (trafficClass, demanded) -> {
           assertThat(plan.rate(trafficClass)).isLessThanOrEqualTo(demanded + TOLERANCE);
-          double half = Constants.ADMISSION_SERVED * demanded;
-          double even = Constants.ADMISSION_FLOOR * capacity / demand.size();
+          double half = Constants.GUARANTEED_DEMAND_FRACTION * demanded;
+          double even = Constants.GUARANTEED_CAPACITY_FRACTION * capacity / demand.size();
           assertThat(plan.rate(trafficClass))
               .isGreaterThanOrEqualTo(
                   (totalDemand <= 1.8 * capacity ? half : Math.min(half, even)) - TOLERANCE);
@@ -106,7 +106,8 @@
             .sum();
     assertThat(
             isServiceShort
-                && rest > Constants.ADMISSION_SERVED * (totalDemand - services) + TOLERANCE)
+                && rest
+                    > Constants.GUARANTEED_DEMAND_FRACTION * (totalDemand - services) + TOLERANCE)
         .isFalse();
   }
 
@@ -131,7 +132,7 @@
       Map<TrafficClass, Double> more = new HashMap<>(demand);
       more.merge(trafficClass, 5.0, Double::sum);
       double demanded = more.values().stream().mapToDouble(d -> d).sum();
-      if (Constants.ADMISSION_SERVED * demanded <= capacity) {
+      if (Constants.GUARANTEED_DEMAND_FRACTION * demanded <= capacity) {
         assertThat(Plan.of(capacity, more, PlanTest::weight).rate(trafficClass))
             .isGreaterThanOrEqualTo(plan.rate(trafficClass) - TOLERANCE);
       }
--- a/src/test/java/dunlincroft/admission/UserSimulation.java
+++ b/src/test/java/dunlincroft/admission/UserSimulation.java
@@ -93,7 +93,7 @@
       if (policy == Policy.SHARED_PLAN) {
         Admission.Verdict verdict =
             admission.offer(user.job, user.trafficClass, waitMs(), clock.now());
-        if (verdict.admitted() && waitMs() <= Constants.BUDGET_WAIT_MS) {
+        if (verdict.admitted() && waitMs() <= Constants.MAX_BUDGET_WAIT_MS) {
           queue.add(user);
         } else {
           refused++;
@@ -106,8 +106,8 @@
       }
       boolean isAdmitted =
           policy == Policy.FIRST_COME_FIRST_SERVED
-              ? waitMs() <= Constants.ANSWER_MS
-              : random.nextDouble() * (1 + waitMs()) < Constants.ANSWER_MS;
+              ? waitMs() <= Constants.MAX_SUBMISSION_WAIT_MS
+              : random.nextDouble() * (1 + waitMs()) < Constants.MAX_SUBMISSION_WAIT_MS;
       if (isAdmitted) {
         queue.add(user);
       } else {
@@ -172,7 +172,7 @@
         }
       }
     }
-    clock.after(Constants.LINK_BEAT_MS, this::exchangeLoads);
+    clock.after(Constants.PEER_HEARTBEAT_MS, this::exchangeLoads);
   }
 
   /** Submissions of a class at random times at the given mean rate, until {@code untilMs}. */
--- a/src/test/java/dunlincroft/bookkeeping/StateStoreFairnessTest.java
+++ b/src/test/java/dunlincroft/bookkeeping/StateStoreFairnessTest.java
@@ -179,7 +179,7 @@
       store.get("d/jobs/run-" + i, answer -> {});
       env.advance(50);
     }
-    double share = Constants.READINGS_PART * rps * Constants.BUDGET_PART / 5;
+    double share = Constants.RESERVED_READS_FRACTION * rps * Constants.USABLE_RATE_FRACTION / 5;
     assertThat((env.sent("GET") - before) / 20.0).isGreaterThan(0.9 * share);
     assertThat(env.sent("POST") / 20.0).isGreaterThan(share);
   }
--- a/src/test/java/dunlincroft/bookkeeping/StateStoreTest.java
+++ b/src/test/java/dunlincroft/bookkeeping/StateStoreTest.java
@@ -76,7 +76,7 @@
       store.commit(
           Urgency.ACCEPT,
           new Txn().put("d/jobs/run-" + i, Cbor.map()),
-          Constants.ANSWER_MS,
+          Constants.MAX_SUBMISSION_WAIT_MS,
           result -> refused += result.outcome() == Txn.Outcome.REFUSED ? 1 : 0);
     }
     env.run();
@@ -87,8 +87,8 @@
   void submissionsThatWouldWaitTooLongAreRefusedAtOnce() {
     env.now += 1000;
     accept(100);
-    double rate = WRITE_RPS * Constants.BUDGET_PART;
-    int served = (int) (rate + rate * Constants.ANSWER_MS / 1000);
+    double rate = WRITE_RPS * Constants.USABLE_RATE_FRACTION;
+    int served = (int) (rate + rate * Constants.MAX_SUBMISSION_WAIT_MS / 1000);
     assertThat(env.calls).isBetween((int) rate - 1, (int) rate + 1);
     assertThat(refused).isBetween(100 - served - 2, 100 - served + 2);
     assertThat(store.expectedWaitMs(Urgency.ACCEPT, 1)).isBetween(300L, 500L);
--- a/src/test/java/dunlincroft/ci/TestVerdict.java
+++ b/src/test/java/dunlincroft/ci/TestVerdict.java
@@ -32,13 +32,13 @@
    * A verdict.
    *
    * @param lines what is printed
-   * @param good whether the run may land
+   * @param passed whether the run may land
    */
-  record Verdict(List<String> lines, boolean good) {}
+  record Verdict(List<String> lines, boolean passed) {}
 
   private final Map<String, Outcome> outcomes = new TreeMap<>();
   private final List<String> lines = new ArrayList<>();
-  private boolean good = true;
+  private boolean passed = true;
 
   private TestVerdict() {}
 
@@ -47,7 +47,7 @@
       throws IOException, ParserConfigurationException, SAXException {
     Verdict verdict = of(Path.of(args[0]), Path.of(args[1]), Path.of(args[2]));
     verdict.lines.forEach(System.out::println);
-    System.exit(verdict.good ? 0 : 1);
+    System.exit(verdict.passed ? 0 : 1);
   }
 
   static Verdict of(Path knownRed, Path sources, Path reports)
@@ -57,7 +57,7 @@
     verdict.compare(knownRed);
     verdict.findMissingClasses(sources, reports);
     verdict.count();
-    return new Verdict(verdict.lines, verdict.good);
+    return new Verdict(verdict.lines, verdict.passed);
   }
 
   // ---- reports ----
@@ -103,9 +103,9 @@
 
   // ---- the verdict ----
 
-  private void bad(String line) {
+  private void reject(String line) {
     lines.add(line);
-    good = false;
+    passed = false;
   }
 
   private void compare(Path knownRed) throws IOException {
@@ -113,20 +113,20 @@
     try {
       KnownRed.read(knownRed).forEach(entry -> known.put(entry.testCase(), entry));
     } catch (IllegalArgumentException e) {
-      bad(e.getMessage());
+      reject(e.getMessage());
     }
     known.forEach(
         (name, entry) -> {
           switch (outcomes.getOrDefault(name, Outcome.SKIPPED)) {
             case FAILED -> lines.add("known red: " + entry.line());
             case PASSED -> lines.add("listed as known red, but passed: " + entry.line());
-            case SKIPPED -> bad("listed as known red, but not run: " + entry.line());
+            case SKIPPED -> reject("listed as known red, but not run: " + entry.line());
           }
         });
     outcomes.forEach(
         (name, outcome) -> {
           if (outcome == Outcome.FAILED && !known.containsKey(name)) {
-            bad("failed: " + name);
+            reject("failed: " + name);
           }
         });
   }
@@ -136,7 +136,7 @@
       String path = sources.relativize(source).toString();
       String name = path.substring(0, path.length() - ".java".length()).replace('/', '.');
       if (!Files.exists(reports.resolve("TEST-" + name + ".xml"))) {
-        bad("no report of " + name);
+        reject("no report of " + name);
       }
     }
   }
@@ -150,7 +150,7 @@
             + count(Outcome.SKIPPED)
             + " skipped");
     if (outcomes.isEmpty()) {
-      bad("no test was run");
+      reject("no test was run");
     }
   }
 
--- a/src/test/java/dunlincroft/ci/TestVerdictTest.java
+++ b/src/test/java/dunlincroft/ci/TestVerdictTest.java
@@ -23,7 +23,7 @@
   private Path reports;
 
   @BeforeEach
-  void folders() throws IOException {
+  void createFolders() throws IOException {
     known = folder.resolve("KNOWN-RED.txt");
     sources = Files.createDirectories(folder.resolve("src"));
     reports = Files.createDirectories(folder.resolve("reports"));
@@ -36,11 +36,11 @@
         reports.resolve("TEST-a.FooTest.xml"), "<testsuite>" + cases + "</testsuite>");
   }
 
-  private static String testCase(int number, String inside) {
+  private static String testCase(int number, String content) {
     return "<testcase name=\"bar(long, int)["
         + number
         + "]\" classname=\"a.FooTest\">"
-        + inside
+        + content
         + "</testcase>";
   }
 
@@ -49,40 +49,40 @@
   }
 
   @Test
-  void aRunWithoutFailuresIsGood() throws Exception {
+  void aRunWithoutFailuresPasses() throws Exception {
     report(testCase(1, "") + testCase(2, ""));
-    assertThat(verdict().good()).isTrue();
+    assertThat(verdict().passed()).isTrue();
     assertThat(verdict().lines()).containsExactly("2 passed, 0 failed, 0 skipped");
   }
 
   @Test
-  void aListedCaseIsPassedOver() throws Exception {
+  void aListedFailureIsTolerated() throws Exception {
     Files.writeString(known, ENTRY + "\n");
     report(testCase(1, "") + testCase(2, "<failure/>"));
-    assertThat(verdict().good()).isTrue();
+    assertThat(verdict().passed()).isTrue();
     assertThat(verdict().lines()).contains("known red: " + ENTRY, "1 passed, 1 failed, 0 skipped");
   }
 
   /** The script before passed over the whole method. */
   @Test
-  void anotherCaseOfTheSameMethodIsNot() throws Exception {
+  void anUnlistedCaseOfAListedMethodFails() throws Exception {
     Files.writeString(known, ENTRY + "\n");
     report(testCase(1, "<failure/>") + testCase(2, "<failure/>"));
-    assertThat(verdict().good()).isFalse();
+    assertThat(verdict().passed()).isFalse();
     assertThat(verdict().lines()).contains("failed: a.FooTest#bar(long, int)[1]");
   }
 
   @Test
   void anErrorIsAFailure() throws Exception {
     report(testCase(1, "<error/>"));
-    assertThat(verdict().good()).isFalse();
+    assertThat(verdict().passed()).isFalse();
   }
 
   @Test
-  void aListedCaseThatPassesIsTold() throws Exception {
+  void aListedCaseThatPassesIsReported() throws Exception {
     Files.writeString(known, ENTRY + "\n");
     report(testCase(2, ""));
-    assertThat(verdict().good()).isTrue();
+    assertThat(verdict().passed()).isTrue();
     assertThat(verdict().lines()).contains("listed as known red, but passed: " + ENTRY);
   }
 
@@ -90,9 +90,9 @@
   void aListedCaseThatDoesNotExistOrIsSkippedFails() throws Exception {
     Files.writeString(known, ENTRY + "\n");
     report(testCase(1, ""));
-    assertThat(verdict().good()).isFalse();
+    assertThat(verdict().passed()).isFalse();
     report(testCase(2, "<skipped/>"));
-    assertThat(verdict().good()).isFalse();
+    assertThat(verdict().passed()).isFalse();
     assertThat(verdict().lines())
         .contains("listed as known red, but not run: " + ENTRY, "0 passed, 0 failed, 1 skipped");
   }
@@ -101,19 +101,19 @@
   void anEntryWithoutAllFieldsFails() throws Exception {
     Files.writeString(known, "a.FooTest#bar: fails at times\n");
     report(testCase(1, ""));
-    assertThat(verdict().good()).isFalse();
+    assertThat(verdict().passed()).isFalse();
   }
 
   @Test
   void aClassWithoutReportFails() throws Exception {
     report(testCase(1, ""));
     Files.writeString(sources.resolve("a/BarTest.java"), "");
-    assertThat(verdict().good()).isFalse();
+    assertThat(verdict().passed()).isFalse();
     assertThat(verdict().lines()).contains("no report of a.BarTest");
   }
 
   @Test
   void aRunWithoutTestsFails() throws Exception {
-    assertThat(verdict().good()).isFalse();
+    assertThat(verdict().passed()).isFalse();
   }
 }
--- a/src/test/java/dunlincroft/membership/CancellationHistories.java
+++ b/src/test/java/dunlincroft/membership/CancellationHistories.java
@@ -217,7 +217,8 @@
     }
 
     private boolean canAcknowledge(long cancel) {
-      long ahead = fault == PlantedFault.SUSPENSION_ENDS_EARLY ? Constants.PROMISE_MS / 2 : 0;
+      long ahead =
+          fault == PlantedFault.SUSPENSION_ENDS_EARLY ? Constants.ACK_SUSPENSION_MS / 2 : 0;
       return fault == PlantedFault.SUSPENSION_IGNORED
           || watermark.canAcknowledge(cancel, now() + ahead);
     }
@@ -256,7 +257,8 @@
       if (fault == PlantedFault.ALL_REPORT_DISCONNECTED) {
         for (int i = 0; i < NODES; i++) {
           boolean other = nodes.get(i) != this;
-          if (other && (now() - heardAt[i] > 2300 || silentMs[i] <= Constants.STALE_MS / 2)) {
+          if (other
+              && (now() - heardAt[i] > 2300 || silentMs[i] <= Constants.MAX_STALENESS_MS / 2)) {
             return readAt;
           }
         }
--- a/src/test/java/dunlincroft/membership/FailureDetectorTest.java
+++ b/src/test/java/dunlincroft/membership/FailureDetectorTest.java
@@ -45,7 +45,7 @@
   private static long heartbeatsFrom(
       FailureDetector detector, List<String> nodes, long from, long until) {
     long now = from;
-    for (; now < until; now += Constants.LINK_BEAT_MS) {
+    for (; now < until; now += Constants.PEER_HEARTBEAT_MS) {
       for (String node : nodes) {
         detector.heartbeatReceived(new PeerHeartbeat(node, 1, 0, 0, 0, 0, List.of()), now);
       }
@@ -80,10 +80,10 @@
   void delayedHeartbeatsDoNotChangeTheEstimate() {
     FailureDetector detector = new FailureDetector("a", OTHERS, 0);
     long now = heartbeatsFrom(detector, OTHERS, 0, 20_000);
-    for (int i = 0; i < Constants.BEATS_KEPT; i++) {
+    for (int i = 0; i < Constants.HEARTBEAT_WINDOW; i++) {
       detector.heartbeatReceived(new PeerHeartbeat("b", 1, 0, 0, 0, 0, List.of()), now);
     }
-    detector.tick(now + 3 * Constants.LINK_BEAT_MS / 2);
+    detector.tick(now + 3 * Constants.PEER_HEARTBEAT_MS / 2);
     assertThat(detector.state("b")).isEqualTo(PeerState.TRUSTED);
   }
 
--- a/src/test/java/dunlincroft/membership/HeartbeatHistories.java
+++ b/src/test/java/dunlincroft/membership/HeartbeatHistories.java
@@ -113,7 +113,7 @@
     }
 
     void sendHeartbeats() {
-      clock.after(delayed(Constants.LINK_BEAT_MS), () -> runWhenActive(this::sendHeartbeats));
+      clock.after(delayed(Constants.PEER_HEARTBEAT_MS), () -> runWhenActive(this::sendHeartbeats));
       for (Node other : nodes) {
         if (other != this) {
           detector.connectionRefused(other.name, other.downSince >= 0);
@@ -143,10 +143,10 @@
       clock.after(delayed(TICK_MS), () -> runWhenActive(this::tick));
       long pausedMs = clock.now() - lastTick - TICK_MS;
       lastTick = clock.now();
-      if (pausedMs > Constants.STOOD_STILL_MS) {
+      if (pausedMs > Constants.PROCESS_PAUSE_MS) {
         detector.pauseDetected(pausedMs, clock.now());
         heardAt.replaceAll((node, at) -> Math.min(clock.now(), at + pausedMs));
-      } else if (pausedMs > Constants.LATE_MS) {
+      } else if (pausedMs > Constants.LATE_TICK_MS) {
         detector.ticksDelayed(clock.now());
       }
       detector.tick(clock.now());
--- a/src/test/java/dunlincroft/operators/PolicyTest.java
+++ b/src/test/java/dunlincroft/operators/PolicyTest.java
@@ -62,7 +62,7 @@
     assertThat(policy.spot(job("red"))).isFalse();
     assertThat(policy.spot(job("blue"))).isTrue();
     assertThat(policy.rentalsMost(TYPE)).isEqualTo(12);
-    assertThat(policy.spare(TYPE)).as("kept in its range").isEqualTo(Constants.SPARE_MOST);
+    assertThat(policy.spare(TYPE)).as("kept in its range").isEqualTo(Constants.MAX_SPARE_MACHINES);
     assertThat(policy.reserve(TYPE, "a", false))
         .as("a preset")
         .isEqualTo(Constants.SERVICE_RESERVE);
@@ -121,7 +121,7 @@
     JobSpec spec = job("red");
     try {
       double value = Policy.parse("buffer = " + text + ";").buffer(spec);
-      assertThat(value).isBetween(0.0, Constants.BUFFER_MOST);
+      assertThat(value).isBetween(0.0, Constants.MAX_LOAD_BUFFER);
     } catch (MalformedException e) {
       assertThat(e.getMessage()).as(text).contains("buffer must be from");
     }
--- a/src/test/java/dunlincroft/sim/CancelChecksTest.java
+++ b/src/test/java/dunlincroft/sim/CancelChecksTest.java
@@ -33,7 +33,11 @@
     ObjectNode body = WorkerOrder.body(1L << 40, orders).put("tenure", worker.tenure());
     Env.Call call =
         new Env.Call(
-            worker.address, "POST", "/commands", Cbor.bytes(body), Constants.WORKER_CALL_MS);
+            worker.address,
+            "POST",
+            "/commands",
+            Cbor.bytes(body),
+            Constants.WORKER_CALL_TIMEOUT_MS);
     cluster.net.call("10.0.0.1:8080", call, reply -> {});
   }
 
@@ -51,7 +55,7 @@
     assertThat(cluster.checks.cancelledStarts.leftAfter).isOne();
     assertThat(cluster.checks.broken)
         .filteredOn(what -> what.contains(CancelledStarts.RULE))
-        .hasSize(afterMs > Constants.STALE_MS ? 1 : 0);
+        .hasSize(afterMs > Constants.MAX_STALENESS_MS ? 1 : 0);
   }
 
   /** An order that had left before is on its way: allowed, and counted. */
--- a/src/test/java/dunlincroft/sim/CancelledStarts.java
+++ b/src/test/java/dunlincroft/sim/CancelledStarts.java
@@ -40,7 +40,7 @@
     leftAfter++;
     latestMs = Math.max(latestMs, after);
     // A controller starts nothing whose picture of the records is older than this.
-    if (after > Constants.STALE_MS) {
+    if (after > Constants.MAX_STALENESS_MS) {
       cluster.checks.broke(
           RULE, task.piece + " on " + worker.host + ": ordered " + after + " ms after the word");
     }
--- a/src/test/java/dunlincroft/sim/Checks.java
+++ b/src/test/java/dunlincroft/sim/Checks.java
@@ -251,7 +251,7 @@
 
   private void late(SimWorker worker, Task task) {
     Long told = toldCancelled.get(task.spec.ref());
-    if (told != null && cluster.clock.now() - told > cluster.settings.cancelS() * 1000) {
+    if (told != null && cluster.clock.now() - told > cluster.settings.maxCancellationS() * 1000) {
       broke("ran_cancelled", task.piece + " on " + worker.host);
     }
   }
--- a/src/test/java/dunlincroft/sim/MeetingsTest.java
+++ b/src/test/java/dunlincroft/sim/MeetingsTest.java
@@ -253,7 +253,7 @@
         .anyMatch(at -> at > REFUSED_MS + 500 && at <= DOWN_MS);
     assertThat(written[cluster.nodeIndex(old)]).as("written by the holder").isZero();
     assertThat(IntStream.of(written).sum()).as("written by others").isPositive();
-    cluster.clock.runUntil(DOWN_MS + (long) (cluster.settings.cancelS() * 1000) + 10_000);
+    cluster.clock.runUntil(DOWN_MS + (long) (cluster.settings.maxCancellationS() * 1000) + 10_000);
     assertThat(cluster.state.down).as("down for longer than cancel_s").isTrue();
     assertThat(cluster.cloud.machines.values())
         .as("answered by the holder in the outage")
--- a/src/test/java/dunlincroft/sim/OldEndsTest.java
+++ b/src/test/java/dunlincroft/sim/OldEndsTest.java
@@ -39,7 +39,7 @@
   void oldEndsAreToldByEveryNode() throws MalformedException {
     SimCluster cluster = new SimCluster(1, Policy.PRESET, Size.SMALL);
     List<JobSpec> old = new ArrayList<>();
-    for (int i = 0; i < Constants.ENDED_IN_MEMORY + FORGOTTEN; i++) {
+    for (int i = 0; i < Constants.MAX_ENDED_JOBS_IN_MEMORY + FORGOTTEN; i++) {
       JobSpec spec = ended(cluster, i);
       if (i < FORGOTTEN) {
         old.add(spec);
@@ -62,6 +62,7 @@
     cluster.clock.runUntil(READ_MS + 30_000);
     assertThat(cluster.checks.broken).isEmpty();
     assertThat(read[0]).as("ends that were looked up").isGreaterThan(2 * asked);
-    assertThat(cluster.state.under("d/jobs/")).hasSize(Constants.ENDED_IN_MEMORY + FORGOTTEN);
+    assertThat(cluster.state.under("d/jobs/"))
+        .hasSize(Constants.MAX_ENDED_JOBS_IN_MEMORY + FORGOTTEN);
   }
 }
--- a/src/test/java/dunlincroft/sim/RefusalTest.java
+++ b/src/test/java/dunlincroft/sim/RefusalTest.java
@@ -69,7 +69,7 @@
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(AT_MS);
     cluster.cloud.listedCpus = 2 * SimCluster.CPUS;
-    cluster.clock.runUntil(AT_MS + Constants.TYPES_MS + 2000);
+    cluster.clock.runUntil(AT_MS + Constants.MACHINE_TYPES_REFRESH_MS + 2000);
     JobSpec large = RulesTest.simple("run-large", "blue", 2, SimCluster.CPUS + 4);
     String leader = cluster.state.under("d/leader/").get("one").path("name").asText();
     cluster.declare(large);
--- a/src/test/java/dunlincroft/sim/SimCluster.java
+++ b/src/test/java/dunlincroft/sim/SimCluster.java
@@ -7,7 +7,7 @@
 import dunlincroft.Settings;
 import dunlincroft.coordination.Controller;
 import dunlincroft.documents.DocumentStore;
-import dunlincroft.front.HttpFront;
+import dunlincroft.front.HttpApi;
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.Cbor;
 import dunlincroft.protocol.JobSpec;
@@ -157,7 +157,7 @@
     lostAnswers = new LostAnswers(state, random);
     net.loses = lostAnswers::about;
     settings = Settings.parse(settingsJson(0, size));
-    leaseMs = (long) (settings.leaseS() * 1000);
+    leaseMs = (long) (settings.workerLeaseS() * 1000);
     checks = new Checks(this);
     closeLooks = new CloseLooks(this, seed);
     oddRequests = new OddRequests(this, seed);
@@ -310,7 +310,7 @@
       silent = false;
       Env env = new NodeEnv(this, now);
       controller = new Controller(mine, policy, env);
-      HttpFront front = new HttpFront(controller);
+      HttpApi front = new HttpApi(controller);
       net.serve(
           nodeAddress(index),
           (method, path, body, out) ->
@@ -839,7 +839,7 @@
     List<String> inside = new ArrayList<>();
     List<String> outside = new ArrayList<>(List.of(STATE, CLOUD));
     for (Node node : nodes) {
-      (node.mine.site().equals(zone) ? inside : outside).add(nodeAddress(node.index));
+      (node.mine.zone().equals(zone) ? inside : outside).add(nodeAddress(node.index));
     }
     for (SimWorker worker : cloud.machines.values()) {
       (worker.hall.equals(zone) ? inside : outside).add(worker.address);
@@ -863,7 +863,7 @@
     long ms = cutZones.getOrDefault(worker.hall, 0L) - clock.now();
     if (ms > 0) {
       nodes.stream()
-          .filter(node -> !node.mine.site().equals(worker.hall))
+          .filter(node -> !node.mine.zone().equals(worker.hall))
           .forEach(node -> net.cut(nodeAddress(node.index), worker.address, ms));
     }
   }
--- a/src/test/java/dunlincroft/transport/SocketsTest.java
+++ b/src/test/java/dunlincroft/transport/SocketsTest.java
@@ -51,7 +51,7 @@
       assertThat(open(sockets, Purpose.SERVED)).isNotNull();
     }
     assertThat(liveConnections(Purpose.SERVED)).isEqualTo(1543);
-    assertThat(sockets.openCount()).isLessThan((int) (2157 * Constants.SOCKETS_PART));
+    assertThat(sockets.openCount()).isLessThan((int) (2157 * Constants.USABLE_SOCKETS_FRACTION));
     while (open(sockets, Purpose.SERVED) != null) {
       assertThat(sockets.openCount()).isLessThan(2157);
     }
@@ -75,7 +75,7 @@
         regular.socket.markBusy();
         regular.socket.markIdle();
       }
-      assertThat(order.channel.isOpen()).isEqualTo(s + 1 < Constants.ORDERS_IDLE_S);
+      assertThat(order.channel.isOpen()).isEqualTo(s + 1 < Constants.ORDER_SOCKET_IDLE_S);
     }
     assertThat(busy.channel.isOpen()).isTrue();
     assertThat(regular.channel.isOpen()).isTrue();
@@ -114,7 +114,7 @@
       }
       assertThat(sockets.openCount())
           .isEqualTo((int) (liveConnections(Purpose.ORDERS) + liveConnections(Purpose.SERVED)));
-      assertThat(sockets.openCount()).isLessThanOrEqualTo(limit - Constants.SOCKETS_KEPT);
+      assertThat(sockets.openCount()).isLessThanOrEqualTo(limit - Constants.RESERVED_SOCKETS);
     }
   }
 }
