--- a/src/main/java/dunlincroft/ClassArchiveTraining.java
+++ b/src/main/java/dunlincroft/ClassArchiveTraining.java
@@ -23,8 +23,9 @@
 import picocli.CommandLine.Command;
 
 /**
- * Runs a controller on loopback for a moment, so that the build can archive the classes that a
- * start loads. Start-up is downtime, and its processor time is charged.
+ * Training run for the class data sharing archive of the build: starts a controller on the loopback
+ * interface and sends it a few requests, so that the classes which a start loads are archived. The
+ * archive shortens start-up, during which the controller is down and its processor time is charged.
  */
 @Command(
     name = "rehearse",
--- a/src/main/java/dunlincroft/Main.java
+++ b/src/main/java/dunlincroft/Main.java
@@ -25,7 +25,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line. */
+/** Entry point of the command line: runs a controller, or one of the subcommands. */
 @Command(
     name = "dunlincroft",
     version = "dunlincroft 0.1.0",
@@ -51,7 +51,7 @@
 
   @Spec private CommandSpec spec;
 
-  /** Checks settings and exits. */
+  /** Validates settings and exits. */
   @Command(
       name = "check",
       mixinStandardHelpOptions = true,
@@ -72,35 +72,41 @@
 
   public static void main(String[] args) {
     configureLogging();
-    CommandLine commandLine = new CommandLine(new Main());
-    int exitCode = commandLine.execute(args);
+    CommandLine cli = new CommandLine(new Main());
+    int exitCode = cli.execute(args);
     if (exitCode != 0 || !isRunning) {
       System.exit(exitCode);
     }
   }
 
+  /** Whether a controller has been started, so that the process does not exit. */
   private static boolean isRunning;
 
   private interface Parser<T> {
     T parse(String text) throws MalformedException;
   }
 
-  private static <T> T parseFile(String description, Path file, Parser<T> parser) {
+  /** Parses a file; on failure, prints the reason to stderr and returns null. */
+  private static <T> T parseFile(String fileKind, Path file, Parser<T> parser) {
     try {
       return parser.parse(Files.readString(file));
     } catch (MalformedException e) {
-      System.err.println(description + " " + file + ": " + e.getMessage());
+      System.err.println(fileKind + " " + file + ": " + e.getMessage());
     } catch (IOException e) {
-      System.err.println(description + " " + file + " cannot be read: " + e);
+      System.err.println(fileKind + " " + file + " cannot be read: " + e);
     }
     return null;
   }
 
+  /** The operators' settings, or the defaults without a file; null if the file is invalid. */
   private static Policy readPolicy(Path file) {
     return file == null ? Policy.PRESET : parseFile("operators' settings", file, Policy::parse);
   }
 
-  /** Must run before the first logger is made, even by a library that reads the settings. */
+  /**
+   * Sets the log level and format. Must run before the first logger is created, which may happen in
+   * a library that is used to read the settings.
+   */
   private static void configureLogging() {
     String level = System.getenv().getOrDefault("LOG_LEVEL", "info");
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
@@ -147,7 +153,7 @@
     }
     env.runLocked(controller::start);
     log.info(
-        "node {} of site {} listens at {}",
+        "node {} in zone {} listens on {}",
         settings.nodeName(),
         settings.zone(),
         settings.listenAddress());
--- a/src/main/java/dunlincroft/OperatorCommands.java
+++ b/src/main/java/dunlincroft/OperatorCommands.java
@@ -23,7 +23,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Commands for operators' documents and what is made of them. */
+/**
+ * Subcommands for operators' documents, and for the calendar and the migrations that they define.
+ */
 final class OperatorCommands {
   private static final int EXIT_INVALID_INPUT = 2;
   private static final int EXIT_FAILED = 1;
@@ -35,7 +37,10 @@
         throws MalformedException, IOException, DocumentStore.Unreachable, DocumentStore.Conflict;
   }
 
-  /** 0 when it went well, 2 for a fault in what was given, 1 for all else; faults go to stderr. */
+  /**
+   * Runs an action and returns the exit code: 0 for success, 2 for invalid input, 1 for any other
+   * failure. The reason for a failure is printed to stderr.
+   */
   private static int exitCode(Action action) {
     try {
       action.run();
@@ -52,17 +57,18 @@
     }
   }
 
+  /** Validates the text of a document. */
   private static void check(String name, String text) throws MalformedException {
     switch (name) {
       case SettlementCalendar.DOCUMENT -> Plan.parse(text);
       case MigrationLedger.DOCUMENT -> MigrationLedger.check(text);
       default ->
           throw new MalformedException(
-              "there is no document " + name + "; there are: calendar, migration");
+              "unknown document " + name + "; known documents: calendar, migration");
     }
   }
 
-  /** What the commands that reach the state service have in common. */
+  /** Base class of the commands that use the state service. */
   abstract static class StateServiceCommand implements Callable<Integer> {
     @Option(names = "--config", required = true, description = "The platform's settings file.")
     private Path config;
@@ -91,6 +97,7 @@
       return exitCode(this::execute);
     }
 
+    /** The version with this number, or the newest one if the number is null. */
     static Version findVersion(List<Version> versions, String name, Long number)
         throws MalformedException {
       return versions.stream()
@@ -105,7 +112,7 @@
     }
   }
 
-  /** Documents in the state service. */
+  /** Groups the commands for documents in the state service. */
   @Command(
       name = "documents",
       mixinStandardHelpOptions = true,
@@ -113,7 +120,7 @@
       subcommands = {Check.class, Put.class, Show.class, History.class, Revert.class})
   static final class DocumentsCommand {}
 
-  /** Checks a file. */
+  /** Validates a file. */
   @Command(
       name = "check",
       mixinStandardHelpOptions = true,
@@ -131,7 +138,7 @@
     }
   }
 
-  /** Puts a file as the newest version. */
+  /** Stores a file as the newest version. */
   @Command(
       name = "put",
       mixinStandardHelpOptions = true,
@@ -197,7 +204,7 @@
     }
   }
 
-  /** Puts an earlier version again. */
+  /** Stores an earlier version again, as the newest one. */
   @Command(
       name = "revert",
       mixinStandardHelpOptions = true,
@@ -220,7 +227,7 @@
     }
   }
 
-  /** What is made of the calendar. */
+  /** Groups the commands for the settlement calendar. */
   @Command(
       name = "calendar",
       mixinStandardHelpOptions = true,
@@ -228,7 +235,7 @@
       subcommands = {Nights.class, Status.class})
   static final class CalendarCommand {}
 
-  /** Prints planned nights. */
+  /** Prints the nights that a calendar file plans. */
   @Command(
       name = "nights",
       mixinStandardHelpOptions = true,
@@ -250,7 +257,7 @@
     }
   }
 
-  /** Workloads between two sides. */
+  /** Groups the commands for migrations of workloads from one side to another. */
   @Command(
       name = "migration",
       mixinStandardHelpOptions = true,
@@ -258,7 +265,7 @@
       subcommands = {MigrationAsk.class, MigrationStatus.class, MigrationHistory.class})
   static final class MigrationCommand {}
 
-  /** Asks the leader for a step. */
+  /** Requests a migration step, which the leader carries out. */
   @Command(
       name = "ask",
       mixinStandardHelpOptions = true,
@@ -282,7 +289,7 @@
     }
   }
 
-  /** Prints where workloads stand. */
+  /** Prints the migration phase of each workload. */
   @Command(
       name = "status",
       mixinStandardHelpOptions = true,
@@ -303,7 +310,7 @@
     }
   }
 
-  /** Prints a workload's history. */
+  /** Prints the migration history of a workload. */
   @Command(
       name = "history",
       mixinStandardHelpOptions = true,
@@ -328,6 +335,10 @@
     }
   }
 
+  /**
+   * Prints a line for each record below a prefix, at most one page: the rest of its key, and what
+   * the formatter makes of its value.
+   */
   private static void printRecords(
       RateLimitedStateClient stateClient, String prefix, Function<JsonNode, String> formatter)
       throws DocumentStore.Unreachable {
@@ -342,7 +353,7 @@
     }
   }
 
-  /** Prints the nights as they are recorded. */
+  /** Prints the recorded nights and their phases. */
   @Command(
       name = "status",
       mixinStandardHelpOptions = true,
--- a/src/main/java/dunlincroft/Settings.java
+++ b/src/main/java/dunlincroft/Settings.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The platform's settings file, checked. Unknown fields are ignored. */
+/** The validated settings file of the platform. Unknown fields of the file are ignored. */
 public record Settings(
     String nodeName,
     String zone,
@@ -39,7 +39,7 @@
     int maxSockets,
     double maxClockOffsetMs) {
 
-  /** Another controller; its zone is empty where the settings do not tell. */
+  /** Another controller; its zone is empty if the settings do not specify it. */
   public record Peer(String nodeName, String zone, InetSocketAddress address) {}
 
   /** A team's guarantee and limit. */
@@ -48,24 +48,26 @@
   private static final double NO_LIMIT = 1e9;
 
   /**
-   * What a team gets beside others that want more than there is: its guaranteed processors, and
-   * without a guarantee, or where nobody has one, a small part of all.
+   * Weight of a team among teams that together ask for more than there is: its part of all
+   * guaranteed cpus, and at least {@link Constants#MIN_TEAM_WEIGHT}. All teams have the same weight
+   * if none has a guarantee.
    */
   public double weight(String team) {
     double guaranteedCpu =
         teams.values().stream().mapToDouble(each -> each.guarantee().cpu()).sum();
-    Team settings = teams.get(team);
-    double teamCpu = settings == null ? 0 : settings.guarantee().cpu();
+    Team teamSettings = teams.get(team);
+    double teamCpu = teamSettings == null ? 0 : teamSettings.guarantee().cpu();
     return guaranteedCpu == 0 ? 1 : Math.max(teamCpu / guaranteedCpu, Constants.MIN_TEAM_WEIGHT);
   }
 
+  /** Parses and validates a settings file; an error message names the field at fault. */
   public static Settings parse(String json) throws MalformedException {
     JsonNode root;
     try {
       root = new ObjectMapper().readTree(json);
     } catch (JsonProcessingException e) {
       throw new MalformedException(
-          "not JSON at line "
+          "malformed JSON at line "
               + e.getLocation().getLineNr()
               + ", column "
               + e.getLocation().getColumnNr());
@@ -124,7 +126,7 @@
             () -> Fields.amountOr(deployment, "clock_off_ms", Constants.DEFAULT_CLOCK_OFFSET_MS)));
   }
 
-  /** The end of a job must fit into one transaction: with less it would be tried for ever. */
+  /** The end of a job must fit into one transaction: otherwise it would be retried forever. */
   private static int maxTxnOps(JsonNode state) throws MalformedException {
     double ops = positive(state, "deployment.state.", "txn_ops");
     if (ops < Constants.JOB_END_OPS) {
@@ -145,32 +147,33 @@
         : positive(limits, "deployment.machine_limits.", field);
   }
 
-  /** 0 means that there is no limit. */
+  /** Reads a limit; 0 means that there is none. */
   private static double limitOrNone(JsonNode team, String field) throws MalformedException {
     double limit = Fields.amountOr(team, field, 0);
     return limit == 0 ? NO_LIMIT : limit;
   }
 
-  /** What the operators hope for of a class: all of a job's tasks done within this, in seconds. */
+  /** The operators' target for a job class: seconds within which all tasks of a job finish. */
   public record Objective(String jobclass, double completeWithinS) {}
 
   private static List<Objective> objectives(JsonNode deployment) throws MalformedException {
-    List<Objective> hopes = new ArrayList<>();
+    List<Objective> objectives = new ArrayList<>();
     if (!Fields.isAbsent(deployment, "objectives")) {
       for (JsonNode objective : Fields.list(deployment, "objectives")) {
         if ("finished".equals(Fields.text(objective, "kind"))) {
-          hopes.add(
+          objectives.add(
               new Objective(Fields.text(objective, "class"), Fields.amount(objective, "within_s")));
         }
       }
     }
-    return hopes;
+    return objectives;
   }
 
   private interface FieldReader<T> {
     T get() throws MalformedException;
   }
 
+  /** Puts the path of the enclosing object before the field named in an error message. */
   private static <T> T withPath(String path, FieldReader<T> reader) throws MalformedException {
     try {
       return reader.get();
@@ -188,9 +191,9 @@
     return node;
   }
 
-  private static InetSocketAddress address(JsonNode parent, String path, String field)
+  private static InetSocketAddress address(JsonNode container, String path, String field)
       throws MalformedException {
-    String text = withPath(path, () -> Fields.text(parent, field));
+    String text = withPath(path, () -> Fields.text(container, field));
     try {
       return Addresses.parse(text);
     } catch (IllegalArgumentException e) {
@@ -202,16 +205,16 @@
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  private static double positive(JsonNode parent, String path, String field)
+  private static double positive(JsonNode container, String path, String field)
       throws MalformedException {
-    double value = withPath(path, () -> Fields.amount(parent, field));
+    double value = withPath(path, () -> Fields.amount(container, field));
     if (value <= 0) {
       throw new MalformedException(path + field + " must be above 0");
     }
     return value;
   }
 
-  /** What connections the process may have, and who always gets one. */
+  /** Limit on the connections of the process, and the addresses that are always connected to. */
   public NettyEnv.SocketLimits socketLimits() {
     return new NettyEnv.SocketLimits(
         maxSockets,
@@ -219,30 +222,34 @@
         Set.copyOf(List.of(stateEndpoint, cloudEndpoint)));
   }
 
-  /** Characters of one slot of a shard's log. */
+  /** Maximum size of one slot of a shard's log, counted in characters of its JSON text. */
   public int logSlotBytes() {
     return Math.min(Constants.MAX_LOG_SLOT_BYTES, (int) (maxValueKib * 1024 * 0.95) - 16);
   }
 
-  /** Slots of a shard's log in use before pages are written. */
+  /** Number of slots of a shard's log that are in use before pages are written. */
   public int logSlots() {
     return Math.max(2, (int) (memoryMb * Constants.SHARD_LOG_BYTES_PER_MB) / logSlotBytes());
   }
 
-  /**
-   * Tasks of one entry that is sure to fit into a slot, with the longest id that a job may have.
-   */
+  /** Number of tasks in a log entry that fits into a slot even with the longest job id. */
   public int maxTasksPerLogEntry() {
     return Math.max(1, (logSlotBytes() - 250) / Constants.MAX_PAGE_ENTRY_BYTES);
   }
 
-  /** Machines of one block, so that the block fits a value: one rental's at the most. */
+  /**
+   * Number of machines in a block such that its record fits into a value, and at most the machines
+   * of one rental.
+   */
   public int machinesPerBlock() {
     int fitting = (int) (maxValueKib * 1024 / Constants.MAX_BLOCK_ENTRY_BYTES) - 4;
     return Math.max(1, Math.min(Constants.MAX_RENTAL_MACHINES, fitting));
   }
 
-  /** Tasks of one page of a job's record, so that the page fits a value whatever happens. */
+  /**
+   * Number of tasks in a page of a job's record such that the page always fits into a value,
+   * whatever its entries are.
+   */
   public int tasksPerPage() {
     return Math.max(1, (int) (maxValueKib * 1024 / Constants.MAX_PAGE_ENTRY_BYTES));
   }
--- a/src/main/java/dunlincroft/front/HttpApi.java
+++ b/src/main/java/dunlincroft/front/HttpApi.java
@@ -14,16 +14,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The users' and workers' HTTP interface; another front would stand beside it on JobDesk. */
+/**
+ * HTTP interface for users and workers. Requests of users go to {@link JobService}, on which an
+ * interface with another protocol could be based as well.
+ */
 public final class HttpApi implements RequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HttpApi.class);
 
   private final Controller controller;
-  private final JobService jobService;
+  private final JobService jobs;
 
   public HttpApi(Controller controller) {
     this.controller = controller;
-    this.jobService = controller.jobService();
+    this.jobs = controller.jobService();
   }
 
   @Override
@@ -57,6 +60,7 @@
     }
   }
 
+  /** Whether the HTTP method is the expected one; otherwise answers with status 405. */
   private static boolean checkMethod(String method, String expected, Responder responder) {
     if (method.equals(expected)) {
       return true;
@@ -80,7 +84,7 @@
     try {
       controller.onWorkerHeartbeat(WorkerReport.parse(parseBody(body)), responder);
     } catch (MalformedException e) {
-      LOG.info("malformed report: {}", e.getMessage());
+      LOG.info("malformed worker heartbeat: {}", e.getMessage());
       sendError(responder, 400, e.getMessage());
     }
   }
@@ -88,20 +92,21 @@
   private void handleSubmission(byte[] body, Responder responder) {
     try {
       JobSpec spec = JobSpec.parse(parseBody(body));
-      jobService.submit(spec, response -> sendResponse(response, responder));
+      jobs.submit(spec, response -> sendResponse(response, responder));
     } catch (MalformedException e) {
       LOG.info("submission refused: {}", e.getMessage());
       sendError(responder, 400, e.getMessage());
     }
   }
 
+  /** Answers a status query for a job, or a request to cancel it. */
   private void handleJob(String id, boolean isCancellation, Responder responder) {
     if (!JobSpec.isValidRef(id)) {
       sendError(responder, 404, "no such job");
     } else if (isCancellation) {
-      jobService.cancel(id, response -> sendResponse(response, responder));
+      jobs.cancel(id, response -> sendResponse(response, responder));
     } else {
-      jobService.poll(id, response -> sendResponse(response, responder));
+      jobs.poll(id, response -> sendResponse(response, responder));
     }
   }
 
--- a/src/test/java/dunlincroft/LayersTest.java
+++ b/src/test/java/dunlincroft/LayersTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** No layer reaches upward (docs/design.md). */
+/** No layer depends on a higher one (docs/design.md). */
 class LayersTest {
   /** From the lowest to the highest. */
   private static final List<String> LAYERS =
--- a/src/test/java/dunlincroft/MainTest.java
+++ b/src/test/java/dunlincroft/MainTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as an operator starts it. */
+/** Starts the program in a process of its own, as an operator does. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class MainTest {
   private static final String SETTINGS =
@@ -41,7 +41,7 @@
     return builder.start();
   }
 
-  /** A library once made the first logger before the level was set, and it was ignored. */
+  /** The level is ignored if a library creates the first logger before the level is set. */
   @Test
   void logLevelIsApplied() throws IOException {
     Path config = Files.writeString(folder.resolve("settings.json"), SETTINGS);
--- a/src/test/java/dunlincroft/ci/KnownRed.java
+++ b/src/test/java/dunlincroft/ci/KnownRed.java
@@ -8,11 +8,11 @@
 import java.util.regex.Pattern;
 
 /**
- * One entry of KNOWN-RED.txt: a single test case that fails for a known fault. A line has four
- * fields with {@code " | "} between them: the case, the command with its seed, what was seen, and
- * the issue.
+ * One entry of KNOWN-RED.txt: a single test case that fails because of a known fault. A line has
+ * four fields separated by {@code " | "}: the test case, the command with its seed, the observed
+ * failure, and the issue.
  *
- * @param testCase class, method and, of a parameterised test, the invocation, as in {@code
+ * @param testCase class, method and, for a parameterised test, the invocation, as in {@code
  *     dunlincroft.sim.AliveTest#name(long, int)[4]}
  * @param line the whole entry
  */
@@ -20,7 +20,7 @@
   private static final String SEPARATOR = " | ";
   private static final int FIELDS = 4;
 
-  /** Reads the entries of a file; none when it is not there. */
+  /** Reads the entries of a file; a missing file has none. */
   static List<KnownRed> read(Path file) throws IOException {
     List<KnownRed> entries = new ArrayList<>();
     if (!Files.exists(file)) {
--- a/src/test/java/dunlincroft/ci/TestVerdict.java
+++ b/src/test/java/dunlincroft/ci/TestVerdict.java
@@ -15,13 +15,13 @@
 import org.xml.sax.SAXException;
 
 /**
- * The verdict on a test run from its reports: every failure fails it but those of the cases that
- * KNOWN-RED.txt lists, and so does a listed case that did not run, and a test class without a
- * report. Called by {@code .ci/run} with KNOWN-RED.txt, the folder of test sources and that of the
- * reports.
+ * Decides from the reports of a test run whether the run passes. It fails on each failed test case
+ * that KNOWN-RED.txt does not list, on a listed case that did not run, on a test class without a
+ * report, and if no test was run at all. Called by {@code .ci/run} with KNOWN-RED.txt, the folder
+ * of test sources and the folder of reports.
  */
 public final class TestVerdict {
-  /** What became of a test case. */
+  /** Result of a test case. */
   private enum Outcome {
     PASSED,
     FAILED,
@@ -29,10 +29,10 @@
   }
 
   /**
-   * A verdict.
+   * The verdict on a run.
    *
-   * @param lines what is printed
-   * @param passed whether the run may land
+   * @param lines lines to print
+   * @param passed whether the change that was tested may be merged
    */
   record Verdict(List<String> lines, boolean passed) {}
 
@@ -42,7 +42,7 @@
 
   private TestVerdict() {}
 
-  /** Prints the verdict; exit code 1 when the run must not land. */
+  /** Prints the verdict. The exit code is 1 if the run fails. */
   public static void main(String[] args)
       throws IOException, ParserConfigurationException, SAXException {
     Verdict verdict = of(Path.of(args[0]), Path.of(args[1]), Path.of(args[2]));
@@ -84,7 +84,7 @@
     boolean failed = has(testCase, "failure") || has(testCase, "error");
     boolean skipped = has(testCase, "skipped");
     Outcome outcome = failed ? Outcome.FAILED : skipped ? Outcome.SKIPPED : Outcome.PASSED;
-    // Of two cases of one name the worse counts.
+    // If several cases have the same name, a failed one counts.
     outcomes.merge(name, outcome, (one, other) -> one == Outcome.FAILED ? one : other);
   }
 
--- a/src/test/java/dunlincroft/ci/TestVerdictTest.java
+++ b/src/test/java/dunlincroft/ci/TestVerdictTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.xml.sax.SAXException;
 
-/** The verdict of CI on reports that are made up. */
+/** Verdicts on constructed test reports. */
 class TestVerdictTest {
   private static final String ENTRY =
       "a.FooTest#bar(long, int)[2] | mvn -Dtest=FooTest, seed 2 | 0.93 of 0.95 | issue 36";
@@ -63,7 +63,7 @@
     assertThat(verdict().lines()).contains("known red: " + ENTRY, "1 passed, 1 failed, 0 skipped");
   }
 
-  /** The script before passed over the whole method. */
+  /** A listed invocation must not excuse failures of the method's other invocations. */
   @Test
   void anUnlistedCaseOfAListedMethodFails() throws Exception {
     Files.writeString(known, ENTRY + "\n");
