--- a/src/main/java/dunlincroft/ClassArchiveTraining.java
+++ b/src/main/java/dunlincroft/ClassArchiveTraining.java
@@ -49,7 +49,7 @@
     Settings settings = Settings.parse(SETTINGS);
     NettyEnv env =
         new NettyEnv(SystemNanoClock.INSTANCE, SystemEpochClock.INSTANCE, settings.socketLimits());
-    Controller controller = new Controller(settings, Policy.PRESET, env);
+    Controller controller = new Controller(settings, Policy.DEFAULT, env);
     InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     Channel server = new HttpServer(env, new HttpApi(controller)).listen(anyPort);
     PeerLink link =
--- a/src/main/java/dunlincroft/Main.java
+++ b/src/main/java/dunlincroft/Main.java
@@ -100,7 +100,7 @@
 
   /** The operators' settings, or the defaults without a file; null if the file is invalid. */
   private static Policy readPolicy(Path file) {
-    return file == null ? Policy.PRESET : parseFile("operators' settings", file, Policy::parse);
+    return file == null ? Policy.DEFAULT : parseFile("operators' settings", file, Policy::parse);
   }
 
   /**
--- a/src/main/java/dunlincroft/OperatorCommands.java
+++ b/src/main/java/dunlincroft/OperatorCommands.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import dunlincroft.bookkeeping.Replica;
-import dunlincroft.calendar.Plan;
+import dunlincroft.calendar.CalendarDocument;
 import dunlincroft.calendar.SettlementCalendar;
 import dunlincroft.documents.DocumentStore;
 import dunlincroft.documents.Documents.Version;
@@ -60,7 +60,7 @@
   /** Validates the text of a document. */
   private static void check(String name, String text) throws MalformedException {
     switch (name) {
-      case SettlementCalendar.DOCUMENT -> Plan.parse(text);
+      case SettlementCalendar.DOCUMENT -> CalendarDocument.parse(text);
       case MigrationLedger.DOCUMENT -> MigrationLedger.check(text);
       default ->
           throw new MalformedException(
@@ -253,7 +253,10 @@
     @Override
     public Integer call() {
       return exitCode(
-          () -> Plan.parse(Files.readString(file)).lines(from, to).forEach(System.out::println));
+          () ->
+              CalendarDocument.parse(Files.readString(file))
+                  .describeNights(from, to)
+                  .forEach(System.out::println));
     }
   }
 
@@ -272,7 +275,7 @@
       description = "Asks for start, pause, resume or back; the leader carries it out.")
   static final class MigrationAsk extends StateServiceCommand {
     @Parameters(index = "0", description = "start, pause, resume or back.")
-    private MigrationLedger.Ask ask;
+    private MigrationLedger.Request ask;
 
     @Parameters(index = "1", description = "Name of the workload.")
     private String workload;
@@ -283,7 +286,7 @@
     @Override
     void execute()
         throws MalformedException, IOException, DocumentStore.Unreachable, DocumentStore.Conflict {
-      String key = MigrationLedger.askKey(workload);
+      String key = MigrationLedger.requestKey(workload);
       documentStore().create(workload, key, Cbor.map().put("ask", ask.name()).put("by", by));
       System.out.println("asked; see: migration history " + workload);
     }
--- a/src/main/java/dunlincroft/calendar/Plan.java
+++ b/src/main/java/dunlincroft/calendar/CalendarDocument.java
@@ -32,7 +32,7 @@
  * days, and windows that open and are cut off by local time relative to a business date. Checked as
  * a whole; a pure function tells its nights.
  */
-public final class Plan {
+public final class CalendarDocument {
   /** What happens to a date that is no trading day of the market. */
   enum Roll {
     FOLLOWING,
@@ -43,9 +43,9 @@
   }
 
   /** Trading days of the week, single days without trade, and days that end early. */
-  record Market(Set<DayOfWeek> days, Set<LocalDate> holidays, Set<LocalDate> halfDays) {
-    boolean trades(LocalDate date) {
-      return days.contains(date.getDayOfWeek()) && !holidays.contains(date);
+  record Market(Set<DayOfWeek> tradingDays, Set<LocalDate> holidays, Set<LocalDate> halfDays) {
+    boolean isTradingDay(LocalDate date) {
+      return tradingDays.contains(date.getDayOfWeek()) && !holidays.contains(date);
     }
   }
 
@@ -53,29 +53,29 @@
   record Window(
       String name,
       String market,
-      Selector select,
+      JobSelector selector,
       Set<DayOfWeek> weekdays,
       int dayOfMonth,
       LocalTime opens,
       LocalTime opensOnHalfDays,
       LocalTime cutOff,
       Roll roll,
-      CutOffAction end) {}
+      CutOffAction cutOffAction) {}
 
   /** The last day of a month, as a day of the month. */
-  private static final int LAST = -1;
+  private static final int LAST_DAY_OF_MONTH = -1;
 
   /** No day of the month is named. */
-  private static final int ANY = 0;
+  private static final int NO_DAY_OF_MONTH = 0;
 
   /** Days that a date may be rolled by: longer closures are faults of the document. */
-  private static final int ROLL_MOST = 14;
+  private static final int MAX_ROLL_DAYS = 14;
 
   private final ZoneId zone;
   private final Map<String, Market> markets;
   private final List<Window> windows;
 
-  private Plan(ZoneId zone, Map<String, Market> markets, List<Window> windows) {
+  private CalendarDocument(ZoneId zone, Map<String, Market> markets, List<Window> windows) {
     this.zone = zone;
     this.markets = markets;
     this.windows = windows;
@@ -84,7 +84,7 @@
   // ---- reading ----
 
   /** Reads a document; the message of a fault has a line for each of them, with its path. */
-  public static Plan parse(String toml) throws MalformedException {
+  public static CalendarDocument parse(String toml) throws MalformedException {
     JsonNode root;
     try {
       root = new TomlMapper().readTree(toml);
@@ -102,40 +102,40 @@
 
   /** Collects every fault of a document instead of stopping at the first. */
   private static final class Reader {
-    private final List<String> faults = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
 
-    Plan read(JsonNode root) throws MalformedException {
-      unknown(root, "", Set.of("zone", "markets", "windows"));
+    CalendarDocument read(JsonNode root) throws MalformedException {
+      rejectUnknownFields(root, "", Set.of("zone", "markets", "windows"));
       ZoneId zone = value(root, "", "zone", ZoneId::of, null);
       Map<String, Market> markets = new LinkedHashMap<>();
       for (Iterator<Map.Entry<String, JsonNode>> it = root.path("markets").fields();
           it.hasNext(); ) {
-        Map.Entry<String, JsonNode> each = it.next();
-        markets.put(each.getKey(), market(each.getValue(), "markets." + each.getKey() + "."));
+        Map.Entry<String, JsonNode> entry = it.next();
+        markets.put(entry.getKey(), market(entry.getValue(), "markets." + entry.getKey() + "."));
       }
       List<Window> windows = new ArrayList<>();
       JsonNode list = root.path("windows");
       if (!list.isArray() || list.isEmpty()) {
-        faults.add("windows: there must be one at the least");
+        errors.add("windows: there must be one at the least");
       }
       for (int i = 0; i < list.size(); i++) {
         windows.add(window(list.get(i), "windows[" + i + "].", markets));
       }
-      distinct(windows);
-      if (!faults.isEmpty()) {
-        throw new MalformedException(String.join("\n", faults));
+      checkDistinct(windows);
+      if (!errors.isEmpty()) {
+        throw new MalformedException(String.join("\n", errors));
       }
-      return new Plan(zone, markets, windows);
+      return new CalendarDocument(zone, markets, windows);
     }
 
     /** No job may be in two windows: which of their cut-offs holds would be a matter of luck. */
-    private void distinct(List<Window> windows) {
+    private void checkDistinct(List<Window> windows) {
       for (int i = 0; i < windows.size(); i++) {
         for (int k = 0; k < i; k++) {
           if (windows.get(i).name.equals(windows.get(k).name)) {
-            faults.add("windows[" + i + "].name: " + windows.get(i).name + " is there twice");
-          } else if (windows.get(i).select.overlaps(windows.get(k).select)) {
-            faults.add(
+            errors.add("windows[" + i + "].name: " + windows.get(i).name + " is there twice");
+          } else if (windows.get(i).selector.overlaps(windows.get(k).selector)) {
+            errors.add(
                 "windows["
                     + i
                     + "].select: a job may be in this window and in "
@@ -146,7 +146,7 @@
     }
 
     private Market market(JsonNode map, String path) {
-      unknown(map, path, Set.of("days", "holidays", "half_days"));
+      rejectUnknownFields(map, path, Set.of("days", "holidays", "half_days"));
       Set<DayOfWeek> days = EnumSet.noneOf(DayOfWeek.class);
       days.addAll(values(map, path, "days", Reader::weekday));
       if (days.isEmpty()) {
@@ -154,16 +154,16 @@
       }
       Set<LocalDate> holidays = new TreeSet<>(values(map, path, "holidays", LocalDate::parse));
       Set<LocalDate> halfDays = new TreeSet<>(values(map, path, "half_days", LocalDate::parse));
-      for (LocalDate half : halfDays) {
-        if (holidays.contains(half) || !days.contains(half.getDayOfWeek())) {
-          faults.add(path + "half_days: " + half + " is no trading day");
+      for (LocalDate halfDay : halfDays) {
+        if (holidays.contains(halfDay) || !days.contains(halfDay.getDayOfWeek())) {
+          errors.add(path + "half_days: " + halfDay + " is no trading day");
         }
       }
       return new Market(days, holidays, halfDays);
     }
 
     private Window window(JsonNode map, String path, Map<String, Market> markets) {
-      unknown(
+      rejectUnknownFields(
           map,
           path,
           Set.of(
@@ -177,62 +177,78 @@
               "cut_off",
               "roll",
               "at_cut_off"));
-      String name = text(value(map, path, "name", Reader::name, null));
-      String market = text(value(map, path, "market", text -> text, null));
+      String name = emptyIfNull(value(map, path, "name", Reader::windowName, null));
+      String market = emptyIfNull(value(map, path, "market", text -> text, null));
       if (!markets.containsKey(market)) {
-        faults.add(path + "market: there is no market " + market);
+        errors.add(path + "market: there is no market " + market);
       }
-      JsonNode chosen = map.path("select");
-      unknown(chosen, path + "select.", Set.of("class", "team", "image"));
-      Selector select =
-          new Selector(
-              value(chosen, path + "select.", "class", text -> text, ""),
-              value(chosen, path + "select.", "team", text -> text, ""),
-              value(chosen, path + "select.", "image", text -> text, ""));
-      select = new Selector(none(select.jobclass()), none(select.team()), none(select.image()));
-      if (select.equals(new Selector(null, null, null))) {
-        faults.add(path + "select: must name a class, a team or an image");
+      JsonNode select = map.path("select");
+      rejectUnknownFields(select, path + "select.", Set.of("class", "team", "image"));
+      JobSelector selector =
+          new JobSelector(
+              value(select, path + "select.", "class", text -> text, ""),
+              value(select, path + "select.", "team", text -> text, ""),
+              value(select, path + "select.", "image", text -> text, ""));
+      selector =
+          new JobSelector(
+              nullIfEmpty(selector.jobclass()),
+              nullIfEmpty(selector.team()),
+              nullIfEmpty(selector.image()));
+      if (selector.equals(new JobSelector(null, null, null))) {
+        errors.add(path + "select: must name a class, a team or an image");
       }
       Set<DayOfWeek> weekdays = EnumSet.noneOf(DayOfWeek.class);
       weekdays.addAll(values(map, path, "weekdays", Reader::weekday));
-      int dayOfMonth = value(map, path, "day_of_month", Integer::valueOf, ANY);
-      if (dayOfMonth < LAST || dayOfMonth > 31 || (dayOfMonth != ANY && !weekdays.isEmpty())) {
-        faults.add(path + "day_of_month: from 1 to 31, or -1 for the last, and without weekdays");
+      int dayOfMonth = value(map, path, "day_of_month", Integer::valueOf, NO_DAY_OF_MONTH);
+      if (dayOfMonth < LAST_DAY_OF_MONTH
+          || dayOfMonth > 31
+          || (dayOfMonth != NO_DAY_OF_MONTH && !weekdays.isEmpty())) {
+        errors.add(path + "day_of_month: from 1 to 31, or -1 for the last, and without weekdays");
       }
       LocalTime opens = value(map, path, "opens", LocalTime::parse, null);
       LocalTime cutOff = value(map, path, "cut_off", LocalTime::parse, null);
       if (opens != null && opens.equals(cutOff)) {
-        faults.add(path + "cut_off: the window is as long as it is short: opens and cut_off agree");
+        errors.add(path + "cut_off: the window is as long as it is short: opens and cut_off agree");
       }
-      LocalTime half =
+      LocalTime opensOnHalfDays =
           map.has("opens_on_half_days")
               ? value(map, path, "opens_on_half_days", LocalTime::parse, null)
               : opens;
       Roll roll =
           value(map, path, "roll", text -> Roll.valueOf(upper(text)), Roll.MODIFIED_FOLLOWING);
-      CutOffAction end =
+      CutOffAction cutOffAction =
           value(
               map,
               path,
               "at_cut_off",
               text -> CutOffAction.valueOf(upper(text)),
               CutOffAction.SAVE);
-      return new Window(name, market, select, weekdays, dayOfMonth, opens, half, cutOff, roll, end);
+      return new Window(
+          name,
+          market,
+          selector,
+          weekdays,
+          dayOfMonth,
+          opens,
+          opensOnHalfDays,
+          cutOff,
+          roll,
+          cutOffAction);
     }
 
     private static String upper(String text) {
       return text.toUpperCase(Locale.ROOT);
     }
 
-    private static String text(String orNull) {
-      return orNull == null ? "" : orNull;
+    private static String emptyIfNull(String text) {
+      return text == null ? "" : text;
     }
 
-    private static String none(String text) {
+    private static String nullIfEmpty(String text) {
       return text == null || text.isEmpty() ? null : text;
     }
 
-    private static String name(String text) {
+    private static String windowName(String text) {
       if (!text.matches("[a-z0-9][a-z0-9-]{0,39}")) {
         throw new IllegalArgumentException("small letters, digits and dashes, 40 at the most");
       }
@@ -248,46 +264,48 @@
       throw new IllegalArgumentException(text + " is no day of the week");
     }
 
-    private void unknown(JsonNode map, String path, Set<String> known) {
+    private void rejectUnknownFields(JsonNode map, String path, Set<String> known) {
       map.fieldNames()
           .forEachRemaining(
               name -> {
                 if (!known.contains(name)) {
-                  faults.add(path + name + ": there is no such field");
+                  errors.add(path + name + ": there is no such field");
                 }
               });
     }
 
     /** A field that must be there when {@code preset} is null. */
     private <T> T value(
-        JsonNode map, String path, String field, Function<String, T> read, T preset) {
+        JsonNode map, String path, String field, Function<String, T> parser, T defaultValue) {
       JsonNode node = map.path(field);
       if (node.isMissingNode()) {
-        if (preset == null) {
-          faults.add(path + field + ": is missing");
+        if (defaultValue == null) {
+          errors.add(path + field + ": is missing");
         }
-        return preset;
+        return defaultValue;
       }
-      return one(node, path + field, read, preset);
+      return parseValue(node, path + field, parser, defaultValue);
     }
 
-    private <T> T one(JsonNode node, String path, Function<String, T> read, T other) {
+    private <T> T parseValue(
+        JsonNode node, String path, Function<String, T> parser, T defaultValue) {
       try {
         if (node.isValueNode()) {
-          return read.apply(node.asText());
+          return parser.apply(node.asText());
         }
-        faults.add(path + ": must be one value");
+        errors.add(path + ": must be one value");
       } catch (DateTimeException | IllegalArgumentException e) {
-        faults.add(path + ": " + node.asText() + ": " + e.getMessage());
+        errors.add(path + ": " + node.asText() + ": " + e.getMessage());
       }
-      return other;
+      return defaultValue;
     }
 
-    private <T> List<T> values(JsonNode map, String path, String field, Function<String, T> read) {
+    private <T> List<T> values(
+        JsonNode map, String path, String field, Function<String, T> parser) {
       List<T> values = new ArrayList<>();
       JsonNode list = map.path(field);
       for (int i = 0; i < list.size(); i++) {
-        T value = one(list.get(i), path + field + "[" + i + "]", read, null);
+        T value = parseValue(list.get(i), path + field + "[" + i + "]", parser, null);
         if (value != null) {
           values.add(value);
         }
@@ -301,7 +319,7 @@
   /** The window that a job is in, or null. */
   Window windowOf(JobSpec spec) {
     for (Window window : windows) {
-      if (window.select.matches(spec)) {
+      if (window.selector.matches(spec)) {
         return window;
       }
     }
@@ -314,13 +332,13 @@
     for (Window window : windows) {
       Set<LocalDate> dates = new TreeSet<>();
       // Rolled dates may come from outside.
-      for (LocalDate date = from.minusDays(ROLL_MOST);
-          !date.isAfter(to.plusDays(ROLL_MOST));
+      for (LocalDate date = from.minusDays(MAX_ROLL_DAYS);
+          !date.isAfter(to.plusDays(MAX_ROLL_DAYS));
           date = date.plusDays(1)) {
-        if (named(window, date)) {
-          LocalDate rolled = rolled(window, date);
-          if (rolled != null && !rolled.isBefore(from) && !rolled.isAfter(to)) {
-            dates.add(rolled); // Two that are rolled onto one day are one night.
+        if (isNominalDate(window, date)) {
+          LocalDate businessDate = businessDate(window, date);
+          if (businessDate != null && !businessDate.isBefore(from) && !businessDate.isAfter(to)) {
+            dates.add(businessDate); // Two that are rolled onto one day are one night.
           }
         }
       }
@@ -330,38 +348,39 @@
     return nights;
   }
 
-  private static boolean named(Window window, LocalDate date) {
-    if (window.dayOfMonth == ANY) {
+  private static boolean isNominalDate(Window window, LocalDate date) {
+    if (window.dayOfMonth == NO_DAY_OF_MONTH) {
       return window.weekdays.isEmpty() || window.weekdays.contains(date.getDayOfWeek());
     }
     int length = YearMonth.from(date).lengthOfMonth();
-    int day = window.dayOfMonth == LAST ? length : Math.min(window.dayOfMonth, length);
+    int day = window.dayOfMonth == LAST_DAY_OF_MONTH ? length : Math.min(window.dayOfMonth, length);
     return date.getDayOfMonth() == day;
   }
 
   /** The trading day that a date stands for, or null. */
-  private LocalDate rolled(Window window, LocalDate date) {
+  private LocalDate businessDate(Window window, LocalDate date) {
     Market market = markets.get(window.market);
-    if (market.trades(date)) {
+    if (market.isTradingDay(date)) {
       return date;
     }
     // A window of every day has its nights on trading days; only named dates are rolled.
-    if (window.roll == Roll.SKIP || (window.dayOfMonth == ANY && window.weekdays.isEmpty())) {
+    if (window.roll == Roll.SKIP
+        || (window.dayOfMonth == NO_DAY_OF_MONTH && window.weekdays.isEmpty())) {
       return null;
     }
-    LocalDate following = next(market, date, 1);
+    LocalDate following = nearestTradingDay(market, date, 1);
     if (window.roll == Roll.PRECEDING
         || (window.roll == Roll.MODIFIED_FOLLOWING
             && (following == null || following.getMonth() != date.getMonth()))) {
-      return next(market, date, -1);
+      return nearestTradingDay(market, date, -1);
     }
     return following;
   }
 
-  private static LocalDate next(Market market, LocalDate from, int step) {
-    for (int days = 1; days <= ROLL_MOST; days++) {
+  private static LocalDate nearestTradingDay(Market market, LocalDate from, int step) {
+    for (int days = 1; days <= MAX_ROLL_DAYS; days++) {
       LocalDate date = from.plusDays((long) step * days);
-      if (market.trades(date)) {
+      if (market.isTradingDay(date)) {
         return date;
       }
     }
@@ -369,16 +388,16 @@
   }
 
   private Night night(Window window, LocalDate date, long version) {
-    boolean half = markets.get(window.market).halfDays.contains(date);
-    LocalTime opens = half ? window.opensOnHalfDays : window.opens;
-    LocalDate last = window.cutOff.isAfter(opens) ? date : date.plusDays(1);
+    boolean halfDay = markets.get(window.market).halfDays.contains(date);
+    LocalTime opens = halfDay ? window.opensOnHalfDays : window.opens;
+    LocalDate cutOffDate = window.cutOff.isAfter(opens) ? date : date.plusDays(1);
     return new Night(
         window.name,
         date,
-        at(date.atTime(opens), true),
-        at(last.atTime(window.cutOff), false),
-        window.select,
-        window.end,
+        toEpochMillis(date.atTime(opens), true),
+        toEpochMillis(cutOffDate.atTime(window.cutOff), false),
+        window.selector,
+        window.cutOffAction,
         version,
         Night.Phase.PLANNED);
   }
@@ -387,16 +406,16 @@
    * A local time as a moment. When clocks change it may not exist or come twice: then an opening is
    * the later reading and a cut-off the earlier one, so that no night is longer than it says.
    */
-  private long at(LocalDateTime local, boolean opening) {
-    ZoneOffsetTransition change = zone.getRules().getTransition(local);
-    if (change == null) {
+  private long toEpochMillis(LocalDateTime local, boolean opening) {
+    ZoneOffsetTransition transition = zone.getRules().getTransition(local);
+    if (transition == null) {
       return local.atZone(zone).toInstant().toEpochMilli();
     }
-    if (change.isGap()) {
-      return change.getInstant().toEpochMilli();
+    if (transition.isGap()) {
+      return transition.getInstant().toEpochMilli();
     }
     return local
-        .toInstant(opening ? change.getOffsetAfter() : change.getOffsetBefore())
+        .toInstant(opening ? transition.getOffsetAfter() : transition.getOffsetBefore())
         .toEpochMilli();
   }
 
@@ -406,7 +425,7 @@
   }
 
   /** One line for each night, for operators. */
-  public List<String> lines(LocalDate from, LocalDate to) {
+  public List<String> describeNights(LocalDate from, LocalDate to) {
     return nights(from, to, 0).stream()
         .map(
             night ->
--- a/src/main/java/dunlincroft/calendar/Selector.java
+++ b/src/main/java/dunlincroft/calendar/JobSelector.java
@@ -8,7 +8,7 @@
 import dunlincroft.protocol.MalformedException;
 
 /** Which jobs a window is for; what is null does not matter. */
-record Selector(String jobclass, String team, String image) {
+record JobSelector(String jobclass, String team, String image) {
   boolean matches(JobSpec spec) {
     return !spec.isService()
         && (jobclass == null || jobclass.equals(spec.jobclass()))
@@ -17,11 +17,13 @@
   }
 
   /** Whether some job could match both. */
-  boolean overlaps(Selector other) {
-    return meets(jobclass, other.jobclass) && meets(team, other.team) && meets(image, other.image);
+  boolean overlaps(JobSelector other) {
+    return compatible(jobclass, other.jobclass)
+        && compatible(team, other.team)
+        && compatible(image, other.image);
   }
 
-  private static boolean meets(String a, String b) {
+  private static boolean compatible(String a, String b) {
     return a == null || b == null || a.equals(b);
   }
 
@@ -29,8 +31,8 @@
     return Cbor.map().put("class", jobclass).put("team", team).put("image", image);
   }
 
-  static Selector parse(JsonNode map) throws MalformedException {
-    return new Selector(
+  static JobSelector parse(JsonNode map) throws MalformedException {
+    return new JobSelector(
         Fields.textOrNull(map, "class"),
         Fields.textOrNull(map, "team"),
         Fields.textOrNull(map, "image"));
--- a/src/main/java/dunlincroft/calendar/Night.java
+++ b/src/main/java/dunlincroft/calendar/Night.java
@@ -22,8 +22,8 @@
     LocalDate date,
     long opensMs,
     long cutOffMs,
-    Selector select,
-    CutOffAction end,
+    JobSelector selector,
+    CutOffAction cutOffAction,
     long version,
     Phase phase) {
   /** A night's phases, each reached by one guarded write. */
@@ -39,15 +39,17 @@
     return window + "@" + date;
   }
 
-  Night in(Phase next) {
-    return new Night(window, date, opensMs, cutOffMs, select, end, version, next);
+  Night withPhase(Phase next) {
+    return new Night(window, date, opensMs, cutOffMs, selector, cutOffAction, version, next);
   }
 
   /** Whether it is the same night by the same rules, in whatever phase and version. */
-  boolean sameAs(Night other) {
+  boolean hasSameDefinition(Night other) {
     return other
-        .in(phase)
-        .equals(new Night(window, date, opensMs, cutOffMs, select, end, other.version, phase));
+        .withPhase(phase)
+        .equals(
+            new Night(
+                window, date, opensMs, cutOffMs, selector, cutOffAction, other.version, phase));
   }
 
   ObjectNode toNode() {
@@ -57,10 +59,10 @@
             .put("date", date.toString())
             .put("opens", opensMs)
             .put("cutOff", cutOffMs)
-            .put("end", end.name().toLowerCase(Locale.ROOT))
+            .put("end", cutOffAction.name().toLowerCase(Locale.ROOT))
             .put("version", version)
             .put("phase", phase.name().toLowerCase(Locale.ROOT));
-    map.set("select", select.toNode());
+    map.set("select", selector.toNode());
     return map;
   }
 
@@ -71,7 +73,7 @@
           LocalDate.parse(Fields.text(map, "date")),
           Fields.count(map, "opens"),
           Fields.count(map, "cutOff"),
-          Selector.parse(map.path("select")),
+          JobSelector.parse(map.path("select")),
           CutOffAction.valueOf(Fields.text(map, "end").toUpperCase(Locale.ROOT)),
           Fields.count(map, "version"),
           Phase.valueOf(Fields.text(map, "phase").toUpperCase(Locale.ROOT)));
--- a/src/main/java/dunlincroft/calendar/SettlementCalendar.java
+++ b/src/main/java/dunlincroft/calendar/SettlementCalendar.java
@@ -40,31 +40,31 @@
   private final StateStore store;
   private final Replica replica;
   private final JobIndex index;
-  private final long clockOffMs;
-  private final RunTimes runTimes = new RunTimes();
+  private final long clockErrorMs;
+  private final RunTimeEstimator runTimes = new RunTimeEstimator();
   private final Map<String, Night> nights = new HashMap<>();
-  private Plan plan;
+  private CalendarDocument document;
   private long version;
-  private boolean planDue;
-  private boolean writing;
-  private long nextForecast;
+  private boolean documentChanged;
+  private boolean writeInFlight;
+  private long nextForecastAt;
 
   /**
-   * @param clockOffMs the most by which a controller's time of day is off
+   * @param clockErrorMs the most by which a controller's time of day is off
    */
   public SettlementCalendar(
-      Env env, StateStore store, Replica replica, JobIndex index, double clockOffMs) {
+      Env env, StateStore store, Replica replica, JobIndex index, double clockErrorMs) {
     this.env = env;
     this.store = store;
     this.replica = replica;
     this.index = index;
-    this.clockOffMs = (long) Math.ceil(clockOffMs);
+    this.clockErrorMs = (long) Math.ceil(clockErrorMs);
   }
 
   // ---- following the records ----
 
   /** A record changed. */
-  public void changed(String kind, String name) {
+  public void onChange(String kind, String name) {
     switch (kind) {
       case Replica.NIGHTS -> {
         Replica.Item item = replica.get(kind, name);
@@ -77,21 +77,21 @@
           }
         }
       }
-      case Replica.DOCUMENTS, Replica.DOCUMENT_PAGES -> planDue = true;
+      case Replica.DOCUMENTS, Replica.DOCUMENT_PAGES -> documentChanged = true;
       default -> {}
     }
   }
 
-  private void read() {
-    planDue = false;
+  private void readDocument() {
+    documentChanged = false;
     try {
       Documents.Text text = Documents.newest(replica, DOCUMENT);
       if (text != null && text.version() != version) {
-        plan = Plan.parse(text.text());
+        document = CalendarDocument.parse(text.text());
         version = text.version();
         LOG.info("settlement calendar: version {} holds from the next night on", version);
       } else if (replica.get(Replica.DOCUMENTS, DOCUMENT) == null) {
-        plan = null;
+        document = null;
         version = 0;
       }
     } catch (MalformedException e) {
@@ -103,10 +103,10 @@
 
   @Override
   public boolean active() {
-    if (planDue) {
-      read();
+    if (documentChanged) {
+      readDocument();
     }
-    return plan != null || !nights.isEmpty();
+    return document != null || !nights.isEmpty();
   }
 
   /** The night that a job is in, of those that are not closed: one that is open, or the next. */
@@ -114,8 +114,8 @@
     Night best = null;
     for (Night night : nights.values()) {
       if (night.phase() != Phase.CLOSED
-          && night.select().matches(spec)
-          && (best == null || order(night) < order(best))) {
+          && night.selector().matches(spec)
+          && (best == null || sortKey(night) < sortKey(best))) {
         best = night;
       }
     }
@@ -123,49 +123,49 @@
   }
 
   /** Open ones first, then those to come, then those that are closing. */
-  private static long order(Night night) {
-    long phase =
+  private static long sortKey(Night night) {
+    long priority =
         switch (night.phase()) {
           case OPEN -> 0;
           case PLANNED -> 1;
           default -> 2;
         };
-    return (phase << PHASE_BITS) + night.opensMs();
+    return (priority << PHASE_BITS) + night.opensMs();
   }
 
   private static final int PHASE_BITS = 50;
 
   private boolean isOpen(Night night) {
-    long wall = env.wallMillis();
+    long wallMs = env.wallMillis();
     return night.phase() == Phase.OPEN
-        && wall + clockOffMs + Constants.LAST_START_LEAD_MS < night.cutOffMs();
+        && wallMs + clockErrorMs + Constants.LAST_START_LEAD_MS < night.cutOffMs();
   }
 
   @Override
   public Decision decide(JobSpec spec) {
     Night night = nightOf(spec);
     if (night == null) {
-      boolean windowed = plan != null && plan.windowOf(spec) != null;
-      return windowed
+      boolean inWindow = document != null && document.windowOf(spec) != null;
+      return inWindow
           ? new Decision(false, false, Long.MAX_VALUE, Map.of(), true, null)
           : Decision.UNRESTRICTED;
     }
-    long wall = env.wallMillis();
-    double takes = 1000 * runTimes.secondsOf(spec);
+    long wallMs = env.wallMillis();
+    double runTimeMs = 1000 * runTimes.estimateSeconds(spec);
     // What saves loses nothing at a cut-off; what does not is begun only if it can end.
-    double least =
-        spec.snapshotIntervalS() > 0 && night.end() != CutOffAction.STOP
-            ? Math.min(takes, 1000 * (spec.snapshotIntervalS() + spec.saveDurationS()))
-            : takes;
-    boolean inTime = wall + clockOffMs + least < night.cutOffMs();
-    boolean soon =
+    double requiredMs =
+        spec.snapshotIntervalS() > 0 && night.cutOffAction() != CutOffAction.STOP
+            ? Math.min(runTimeMs, 1000 * (spec.snapshotIntervalS() + spec.saveDurationS()))
+            : runTimeMs;
+    boolean inTime = wallMs + clockErrorMs + requiredMs < night.cutOffMs();
+    boolean machinesWanted =
         night.phase() != Phase.CLOSING
-            && wall + Constants.OPENING_LEAD_MS >= night.opensMs()
+            && wallMs + Constants.OPENING_LEAD_MS >= night.opensMs()
             && inTime;
     return new Decision(
         isOpen(night) && inTime,
-        soon,
-        night.cutOffMs() - clockOffMs,
+        machinesWanted,
+        night.cutOffMs() - clockErrorMs,
         Map.of(Wire.key(Replica.NIGHTS, night.name()), replica.stamp(Replica.NIGHTS, night.name())),
         true,
         null);
@@ -173,21 +173,21 @@
 
   @Override
   public CutOffAction cutOffAction(JobSpec spec) {
-    CutOffAction end = null;
+    CutOffAction action = null;
     for (Night night : nights.values()) {
-      if (night.phase() != Phase.PLANNED && night.select().matches(spec)) {
+      if (night.phase() != Phase.PLANNED && night.selector().matches(spec)) {
         if (isOpen(night)) {
           return null;
         }
-        end = night.phase() == Phase.CLOSED ? end : night.end();
+        action = night.phase() == Phase.CLOSED ? action : night.cutOffAction();
       }
     }
-    return end;
+    return action;
   }
 
   @Override
   public void onTaskFinished(JobSpec spec, double seconds) {
-    runTimes.ran(spec, seconds);
+    runTimes.addSample(spec, seconds);
   }
 
   // ---- the leader ----
@@ -195,121 +195,126 @@
   /**
    * Moves nights on; called by the leader, now and then.
    *
-   * @param asLeader a transaction with the guard under which a leader writes
+   * @param leaderTxn a transaction with the guard under which a leader writes
    * @param txnOps the most changes in it
    */
-  public void lead(Supplier<Txn> asLeader, int txnOps) {
-    if (!active() || writing) {
+  public void leaderTick(Supplier<Txn> leaderTxn, int txnOps) {
+    if (!active() || writeInFlight) {
       return;
     }
-    Txn txn = asLeader.get();
-    long wall = env.wallMillis();
-    List<String> moved = new ArrayList<>();
+    Txn txn = leaderTxn.get();
+    long wallMs = env.wallMillis();
+    List<String> transitions = new ArrayList<>();
     for (Night night : List.copyOf(nights.values())) {
-      Phase next = next(night, wall);
+      Phase next = nextPhase(night, wallMs);
       if (next != night.phase() && txn.size() < txnOps) {
-        put(txn, night.in(next));
-        moved.add(night.name() + " is " + next);
+        putNight(txn, night.withPhase(next));
+        transitions.add(night.name() + " is " + next);
       } else if (night.phase() == Phase.CLOSED
-          && wall - night.cutOffMs() > Constants.NIGHT_RETENTION_MS
+          && wallMs - night.cutOffMs() > Constants.NIGHT_RETENTION_MS
           && txn.size() < txnOps) {
         String key = Wire.key(Replica.NIGHTS, night.name());
         txn.guard(key, replica.stamp(Replica.NIGHTS, night.name())).remove(key);
       }
     }
-    if (plan != null) {
-      planned(txn, wall, txnOps);
+    if (document != null) {
+      planNights(txn, wallMs, txnOps);
     }
     if (txn.size() > 0) {
-      writing = true;
+      writeInFlight = true;
       store.commit(
           Urgency.HANDS,
           txn,
           result -> {
-            writing = false;
+            writeInFlight = false;
             if (result.ok()) {
-              moved.forEach(what -> LOG.info("night {}", what));
+              transitions.forEach(transition -> LOG.info("night {}", transition));
             }
           });
     }
-    if (env.nowMillis() >= nextForecast) {
-      nextForecast = env.nowMillis() + Constants.FORECAST_INTERVAL_MS;
-      nights.values().stream().filter(this::isOpen).forEach(night -> forecast(night, wall));
+    if (env.nowMillis() >= nextForecastAt) {
+      nextForecastAt = env.nowMillis() + Constants.FORECAST_INTERVAL_MS;
+      nights.values().stream().filter(this::isOpen).forEach(night -> logForecast(night, wallMs));
     }
   }
 
-  private Phase next(Night night, long wall) {
-    boolean over = wall + clockOffMs >= night.cutOffMs();
+  private Phase nextPhase(Night night, long wallMs) {
+    boolean afterCutOff = wallMs + clockErrorMs >= night.cutOffMs();
     return switch (night.phase()) {
       case PLANNED ->
-          over ? Phase.CLOSED : wall - clockOffMs >= night.opensMs() ? Phase.OPEN : Phase.PLANNED;
-      case OPEN -> over ? Phase.CLOSING : Phase.OPEN;
-      default -> running(night) ? Phase.CLOSING : Phase.CLOSED;
+          afterCutOff
+              ? Phase.CLOSED
+              : wallMs - clockErrorMs >= night.opensMs() ? Phase.OPEN : Phase.PLANNED;
+      case OPEN -> afterCutOff ? Phase.CLOSING : Phase.OPEN;
+      default -> hasRunningTasks(night) ? Phase.CLOSING : Phase.CLOSED;
     };
   }
 
-  private boolean running(Night night) {
+  private boolean hasRunningTasks(Night night) {
     for (JobIndex.Job job : index.all().values()) {
-      if (job.placedCount() > 0 && night.select().matches(job.spec)) {
+      if (job.placedCount() > 0 && night.selector().matches(job.spec)) {
         return true;
       }
     }
     return false;
   }
 
-  private void put(Txn txn, Night night) {
+  private void putNight(Txn txn, Night night) {
     String key = Wire.key(Replica.NIGHTS, night.name());
     txn.guard(key, replica.stamp(Replica.NIGHTS, night.name())).put(key, night.toNode());
   }
 
   /** Writes nights to come; those that have not begun follow the document. */
-  private void planned(Txn txn, long wall, int txnOps) {
-    LocalDate today = plan.dateOf(wall);
-    Map<String, Night> wanted = new HashMap<>();
-    for (Night night : plan.nights(today.minusDays(1), today.plusDays(1), version)) {
-      if (night.cutOffMs() - clockOffMs > wall) {
-        wanted.put(night.name(), night);
+  private void planNights(Txn txn, long wallMs, int txnOps) {
+    LocalDate today = document.dateOf(wallMs);
+    Map<String, Night> planned = new HashMap<>();
+    for (Night night : document.nights(today.minusDays(1), today.plusDays(1), version)) {
+      if (night.cutOffMs() - clockErrorMs > wallMs) {
+        planned.put(night.name(), night);
       }
     }
-    for (Night night : wanted.values()) {
-      Night there = nights.get(night.name());
-      boolean stale = there != null && there.phase() == Phase.PLANNED && !night.sameAs(there);
-      if ((there == null || stale) && txn.size() < txnOps) {
-        put(txn, night);
+    for (Night night : planned.values()) {
+      Night recorded = nights.get(night.name());
+      boolean outdated =
+          recorded != null
+              && recorded.phase() == Phase.PLANNED
+              && !night.hasSameDefinition(recorded);
+      if ((recorded == null || outdated) && txn.size() < txnOps) {
+        putNight(txn, night);
       }
     }
-    for (Night there : nights.values()) {
-      if (there.phase() == Phase.PLANNED
-          && there.version() != version
-          && !wanted.containsKey(there.name())
+    for (Night recorded : nights.values()) {
+      if (recorded.phase() == Phase.PLANNED
+          && recorded.version() != version
+          && !planned.containsKey(recorded.name())
           && txn.size() < txnOps) {
-        String key = Wire.key(Replica.NIGHTS, there.name());
-        txn.guard(key, replica.stamp(Replica.NIGHTS, there.name())).remove(key);
+        String key = Wire.key(Replica.NIGHTS, recorded.name());
+        txn.guard(key, replica.stamp(Replica.NIGHTS, recorded.name())).remove(key);
       }
     }
   }
 
   /** Whether a night's work will be over in time, by what is known of run times. */
-  private void forecast(Night night, long wall) {
+  private void logForecast(Night night, long wallMs) {
     double coreSeconds = 0;
-    double running = 0;
-    int open = 0;
+    double runningCores = 0;
+    int unfinishedTasks = 0;
     for (JobIndex.Job job : index.all().values()) {
-      if (night.select().matches(job.spec)) {
-        double cores = job.spec.resources().cpu() / 1000.0;
-        coreSeconds += job.runnableTasks() * cores * runTimes.secondsOf(job.spec);
-        running += job.placedCount() * cores;
-        open += job.runnableTasks();
+      if (night.selector().matches(job.spec)) {
+        double coresPerTask = job.spec.resources().cpu() / 1000.0;
+        coreSeconds += job.runnableTasks() * coresPerTask * runTimes.estimateSeconds(job.spec);
+        runningCores += job.placedCount() * coresPerTask;
+        unfinishedTasks += job.runnableTasks();
       }
     }
-    double left = Math.max(1, (night.cutOffMs() - clockOffMs - wall) / 1000.0);
-    double cores = coreSeconds / left;
+    double remainingS = Math.max(1, (night.cutOffMs() - clockErrorMs - wallMs) / 1000.0);
+    double coresPerTask = coreSeconds / remainingS;
     LOG.info(
         "night {}: {} tasks open, {} s until the cut-off; {} cores would be over in time, {} run",
         night.name(),
-        open,
-        (long) left,
-        (long) Math.ceil(cores),
-        (long) running);
+        unfinishedTasks,
+        (long) remainingS,
+        (long) Math.ceil(coresPerTask),
+        (long) runningCores);
   }
 }
--- a/src/main/java/dunlincroft/coordination/ClusterState.java
+++ b/src/main/java/dunlincroft/coordination/ClusterState.java
@@ -354,7 +354,7 @@
    * policy.
    */
   boolean allowsSpot(JobSpec spec) {
-    return spec.toleratesSpot() && policy.spot(spec);
+    return spec.toleratesSpot() && policy.isSpotEnabled(spec);
   }
 
   /**
@@ -374,7 +374,7 @@
    */
   long preemptLossMs(JobRun job) {
     if (job.preemptLossMs < 0) {
-      job.preemptLossMs = policy.preemptLossMs(job.spec);
+      job.preemptLossMs = policy.maxPreemptionLossMs(job.spec);
     }
     return job.preemptLossMs;
   }
@@ -395,8 +395,8 @@
     if (machine.reservedCpuType != machine.type) {
       machine.reservedCpuType = machine.type;
       double cpu = machine.type.resources().cpu();
-      double bound = policy.bound(machine.type, machine.zone, machine.preemptible);
-      double reserve = policy.reserve(machine.type, machine.zone, machine.preemptible);
+      double bound = policy.loadBound(machine.type, machine.zone, machine.preemptible);
+      double reserve = policy.serviceReserve(machine.type, machine.zone, machine.preemptible);
       machine.baseReservedCpu = (long) (cpu * (1 - bound));
       machine.reservedCpuWithServices = (long) (cpu * (1 - bound + reserve));
     }
--- a/src/main/java/dunlincroft/coordination/Controller.java
+++ b/src/main/java/dunlincroft/coordination/Controller.java
@@ -109,8 +109,8 @@
   private void onRecordChanged(String kind, String name) {
     cluster.jobIndex.onChange(kind, name);
     membership.recordChanged(kind, name);
-    calendar.changed(kind, name);
-    migrations.changed(kind, name);
+    calendar.onChange(kind, name);
+    migrations.onChange(kind, name);
     switch (kind) {
       case Replica.JOBS -> cluster.onJobChanged(name);
       case Replica.CANCELS -> onCancellation(name);
@@ -283,9 +283,10 @@
 
   private void runLeaderDuties() {
     if (isLeader()) {
-      membership.renewLeases(cluster.blocks.hosts().size(), cluster.policy.holderMachines());
-      calendar.lead(() -> membership.guardAsLeader(new Txn()), cluster.settings.maxTxnOps());
-      migrations.lead(() -> membership.guardAsLeader(new Txn()), cluster.settings.maxTxnOps());
+      membership.renewLeases(cluster.blocks.hosts().size(), cluster.policy.machinesPerLeaseOwner());
+      calendar.leaderTick(() -> membership.guardAsLeader(new Txn()), cluster.settings.maxTxnOps());
+      migrations.leaderTick(
+          () -> membership.guardAsLeader(new Txn()), cluster.settings.maxTxnOps());
     }
   }
 
--- a/src/main/java/dunlincroft/coordination/Demand.java
+++ b/src/main/java/dunlincroft/coordination/Demand.java
@@ -95,7 +95,7 @@
    * spot machines, with the operators' spare and at least one machine per zone.
    */
   double onDemandTarget(MachineType type, MachineDemand demand) {
-    double spare = cluster.policy.spare(type) * type.zones().size();
+    double spare = cluster.policy.spareMachinesPerZone(type) * type.zones().size();
     return Math.max(type.zones().size(), demand.onDemand + spare);
   }
 
@@ -146,7 +146,7 @@
       JobSpec spec = job.spec;
       if (spec.allows(machineClass.machineType(), machineClass.zone(), machineClass.preemptible())
           && spec.resources().fitsInto(type.resources())
-          && (!machineClass.preemptible() || cluster.policy.spot(spec))
+          && (!machineClass.preemptible() || cluster.policy.isSpotEnabled(spec))
           && !isCancelled(spec)
           && cluster.needsMachines(spec)) {
         work.merge(job.shard, machinesFor(spec, type, job.runnableTasks()), Double::sum);
--- a/src/main/java/dunlincroft/coordination/MachineProvisioner.java
+++ b/src/main/java/dunlincroft/coordination/MachineProvisioner.java
@@ -154,7 +154,7 @@
       int preemptibleShortfall =
           (int) Math.ceil(need.preemptible - counts.preemptibleCount - spareOnDemand);
       int headroom =
-          cluster.policy.rentalsMost(type) - counts.onDemandCount - counts.preemptibleCount;
+          cluster.policy.maxRentals(type) - counts.onDemandCount - counts.preemptibleCount;
       onDemandShortfall = Math.max(0, Math.min(onDemandShortfall, headroom));
       preemptibleShortfall = Math.min(preemptibleShortfall, headroom - onDemandShortfall);
       if (onDemandShortfall > 0) {
@@ -210,7 +210,7 @@
               MachineType type = cluster.machineTypes.get(machineClass.machineType());
               MachineCounts counts = countMachines(type.label());
               int headroom =
-                  cluster.policy.rentalsMost(type) - counts.onDemandCount - counts.preemptibleCount;
+                  cluster.policy.maxRentals(type) - counts.onDemandCount - counts.preemptibleCount;
               int missing = Math.min(number, headroom);
               if (missing > 0 && !requested.containsKey(machineClass)) {
                 LOG.info(
@@ -326,7 +326,7 @@
     MachineCounts counts = countMachines(type.label());
     int total = counts.onDemandCount + counts.preemptibleCount;
     boolean isEnough = total >= demand.onDemandTarget(type, need) + need.preemptible;
-    if (!isEnough || !used.fitsInto(team.limit()) || total >= cluster.policy.rentalsMost(type)) {
+    if (!isEnough || !used.fitsInto(team.limit()) || total >= cluster.policy.maxRentals(type)) {
       return;
     }
     List<String> candidateZones = cluster.zonesFor(job, type);
--- a/src/main/java/dunlincroft/coordination/RecordedCapacity.java
+++ b/src/main/java/dunlincroft/coordination/RecordedCapacity.java
@@ -60,7 +60,7 @@
       if (type == null) {
         continue;
       }
-      double bound = cluster.policy.bound(type, blockClass.zone(), blockClass.preemptible());
+      double bound = cluster.policy.loadBound(type, blockClass.zone(), blockClass.preemptible());
       Resources capacity =
           type.resources()
               .minus(new Resources((long) (type.resources().cpu() * (1 - bound)), 0, 0));
@@ -145,7 +145,7 @@
     }
     MachineType type = cluster.machineTypes.get(host.blockClass.machineType());
     double reserve =
-        cluster.policy.reserve(type, host.blockClass.zone(), host.blockClass.preemptible());
+        cluster.policy.serviceReserve(type, host.blockClass.zone(), host.blockClass.preemptible());
     return host.free.minus(new Resources((long) (type.resources().cpu() * reserve), 0, 0));
   }
 }
--- a/src/main/java/dunlincroft/coordination/ReplicaHeadroom.java
+++ b/src/main/java/dunlincroft/coordination/ReplicaHeadroom.java
@@ -249,7 +249,7 @@
     if (type == null) {
       return Resources.NONE;
     }
-    double bound = cluster.policy.bound(type, blockClass.zone(), blockClass.preemptible());
+    double bound = cluster.policy.loadBound(type, blockClass.zone(), blockClass.preemptible());
     return type.resources()
         .minus(new Resources((long) (type.resources().cpu() * (1 - bound)), 0, 0));
   }
--- a/src/main/java/dunlincroft/coordination/Scheduler.java
+++ b/src/main/java/dunlincroft/coordination/Scheduler.java
@@ -448,7 +448,8 @@
     }
     if (buffered) {
       Resources perTask = job.spec.resources();
-      double bufferFraction = cluster.env.random().nextDouble() * cluster.policy.buffer(job.spec);
+      double bufferFraction =
+          cluster.env.random().nextDouble() * cluster.policy.maxPlacementBuffer(job.spec);
       free =
           free.minus(
               new Resources(
--- a/src/main/java/dunlincroft/migration/Migration.java
+++ b/src/main/java/dunlincroft/migration/Migration.java
@@ -13,7 +13,7 @@
  *
  * @param sinceMs when the phase began, by the time of day
  */
-record Migration(Workload workload, Phase phase, long epoch, long sinceMs, boolean rests) {
+record Migration(Workload workload, Phase phase, long epoch, long sinceMs, boolean paused) {
   /** The steps, in order; BACK leads from any of them to OLD. */
   enum Phase {
     /** On the old side alone. */
@@ -41,25 +41,25 @@
   }
 
   /** The part of each job's tasks that stands on the new side. */
-  double onNew() {
+  double newSideShare() {
     return switch (phase) {
       case OLD, BACK -> 0;
-      case CANARY -> workload.canary();
-      case BOTH -> workload.share();
+      case CANARY -> workload.canaryShare();
+      case BOTH -> workload.bothShare();
       case CUTOVER, SETTLED -> 1;
     };
   }
 
-  Migration to(Phase next, long nowMs) {
+  Migration withPhase(Phase next, long nowMs) {
     return new Migration(workload, next, epoch + 1, nowMs, false);
   }
 
-  Migration pause() {
+  Migration withPause() {
     return new Migration(workload, phase, epoch + 1, sinceMs, true);
   }
 
   /** Goes on; its phase is watched from now on. */
-  Migration resumed(long nowMs) {
+  Migration withoutPause(long nowMs) {
     return new Migration(workload, phase, epoch + 1, nowMs, false);
   }
 
@@ -69,7 +69,7 @@
             .put("phase", phase.name().toLowerCase(Locale.ROOT))
             .put("epoch", epoch)
             .put("since", sinceMs)
-            .put("paused", rests);
+            .put("paused", paused);
     map.set("workload", workload.toNode());
     return map;
   }
--- a/src/main/java/dunlincroft/migration/MigrationLedger.java
+++ b/src/main/java/dunlincroft/migration/MigrationLedger.java
@@ -42,7 +42,7 @@
   public static final String DOCUMENT = "migration";
 
   /** What operators may ask for. */
-  public enum Ask {
+  public enum Request {
     START,
     PAUSE,
     RESUME,
@@ -57,8 +57,8 @@
   private final Map<String, Migration> migrations = new TreeMap<>();
   private Map<String, Workload> workloads = Map.of();
   private long version;
-  private boolean documentDue;
-  private boolean writing;
+  private boolean documentChanged;
+  private boolean writeInFlight;
 
   public MigrationLedger(
       Env env, StateStore store, Replica replica, JobIndex index, BlockIndex blocks) {
@@ -75,14 +75,14 @@
   }
 
   /** Key under which operators ask for something. */
-  public static String askKey(String workload) {
+  public static String requestKey(String workload) {
     return Wire.key(Replica.MIGRATION_REQUESTS, workload);
   }
 
   // ---- following the records ----
 
   /** A record changed. */
-  public void changed(String kind, String name) {
+  public void onChange(String kind, String name) {
     switch (kind) {
       case Replica.MIGRATIONS -> {
         Replica.Item item = replica.get(kind, name);
@@ -95,21 +95,21 @@
           }
         }
       }
-      case Replica.DOCUMENTS, Replica.DOCUMENT_PAGES -> documentDue = true;
+      case Replica.DOCUMENTS, Replica.DOCUMENT_PAGES -> documentChanged = true;
       default -> {}
     }
   }
 
-  private void read() {
-    documentDue = false;
+  private void readDocument() {
+    documentChanged = false;
     try {
       Documents.Text text = Documents.newest(replica, DOCUMENT);
       if (text != null && text.version() != version) {
-        Map<String, Workload> read = new HashMap<>();
-        Workload.parseAll(text.text()).forEach(workload -> read.put(workload.name(), workload));
-        workloads = read;
+        Map<String, Workload> byName = new HashMap<>();
+        Workload.parseAll(text.text()).forEach(workload -> byName.put(workload.name(), workload));
+        workloads = byName;
         version = text.version();
-        LOG.info("migration ledger: version {} with {} workloads", version, read.size());
+        LOG.info("migration ledger: version {} with {} workloads", version, byName.size());
       }
     } catch (MalformedException e) {
       LOG.error("the migration document cannot be read, the one before holds: {}", e.getMessage());
@@ -123,7 +123,7 @@
     return !migrations.isEmpty();
   }
 
-  private Migration of(JobSpec spec) {
+  private Migration migrationOf(JobSpec spec) {
     for (Migration migration : migrations.values()) {
       if (migration.workload().matches(spec)) {
         return migration;
@@ -133,26 +133,28 @@
   }
 
   /** The first tasks of a job stand on the new side, as many as its part is. */
-  private record Shared(Workload workload, int onNew) implements MigrationSides {
-    static Shared of(Migration migration, JobSpec spec) {
-      return new Shared(
-          migration.workload(), (int) Math.ceil(migration.onNew() * spec.taskCount() - 1e-9));
+  private record JobSides(Workload workload, int newSideTasks) implements MigrationSides {
+    static JobSides of(Migration migration, JobSpec spec) {
+      return new JobSides(
+          migration.workload(),
+          (int) Math.ceil(migration.newSideShare() * spec.taskCount() - 1e-9));
     }
 
     @Override
     public int sideOf(int task) {
-      return task < onNew ? NEW : OLD;
+      return task < newSideTasks ? NEW : OLD;
     }
 
     @Override
     public boolean contains(int side, String host, String type, String zone, boolean spot) {
-      return (side == NEW ? workload.fresh() : workload.old()).has(host, type, zone, spot);
+      return (side == NEW ? workload.newSide() : workload.oldSide())
+          .contains(host, type, zone, spot);
     }
   }
 
   @Override
   public Decision decide(JobSpec spec) {
-    Migration migration = of(spec);
+    Migration migration = migrationOf(spec);
     if (migration == null) {
       return Decision.UNRESTRICTED;
     }
@@ -163,7 +165,7 @@
         Long.MAX_VALUE,
         Map.of(Wire.key(Replica.MIGRATIONS, name), replica.stamp(Replica.MIGRATIONS, name)),
         false,
-        Shared.of(migration, spec));
+        JobSides.of(migration, spec));
   }
 
   @Override
@@ -179,39 +181,40 @@
   /**
    * Carries out what operators ask, and moves workloads on; called by the leader, now and then.
    *
-   * @param asLeader a transaction with the guard under which a leader writes
+   * @param leaderTxn a transaction with the guard under which a leader writes
    * @param txnOps the most changes in it
    */
-  public void lead(Supplier<Txn> asLeader, int txnOps) {
-    Map<String, Replica.Item> asks = replica.items(Replica.MIGRATION_REQUESTS);
-    if (writing || (migrations.isEmpty() && asks.isEmpty())) {
+  public void leaderTick(Supplier<Txn> leaderTxn, int txnOps) {
+    Map<String, Replica.Item> requests = replica.items(Replica.MIGRATION_REQUESTS);
+    if (writeInFlight || (migrations.isEmpty() && requests.isEmpty())) {
       return;
     }
-    if (documentDue) {
-      read();
+    if (documentChanged) {
+      readDocument();
     }
-    Txn txn = asLeader.get();
+    Txn txn = leaderTxn.get();
     List<String> steps = new ArrayList<>();
-    for (Map.Entry<String, Replica.Item> ask : asks.entrySet()) {
-      if (txn.size() + CHANGES <= txnOps) {
-        asked(txn, ask.getKey(), ask.getValue(), steps);
+    for (Map.Entry<String, Replica.Item> request : requests.entrySet()) {
+      if (txn.size() + CHANGES_PER_STEP <= txnOps) {
+        applyRequest(txn, request.getKey(), request.getValue(), steps);
       }
     }
     for (Migration migration : migrations.values()) {
-      if (!asks.containsKey(migration.workload().name()) && txn.size() + CHANGES <= txnOps) {
-        Migration next = step(migration);
+      if (!requests.containsKey(migration.workload().name())
+          && txn.size() + CHANGES_PER_STEP <= txnOps) {
+        Migration next = dueStep(migration);
         if (next != null) {
-          put(txn, migration, next, "leader", steps);
+          putStep(txn, migration, next, "leader", steps);
         }
       }
     }
     if (txn.size() > 0) {
-      writing = true;
+      writeInFlight = true;
       store.commit(
           Urgency.HANDS,
           txn,
           result -> {
-            writing = false;
+            writeInFlight = false;
             if (result.ok()) {
               steps.forEach(step -> LOG.info("migration {}", step));
             }
@@ -220,115 +223,115 @@
   }
 
   /** Changes of one step: the record, its history, and what was asked. */
-  private static final int CHANGES = 3;
+  private static final int CHANGES_PER_STEP = 3;
 
-  private void asked(Txn txn, String name, Replica.Item item, List<String> steps) {
-    String key = askKey(name);
+  private void applyRequest(Txn txn, String name, Replica.Item item, List<String> steps) {
+    String key = requestKey(name);
     txn.guard(key, item.stamp()).remove(key);
-    Migration there = migrations.get(name);
+    Migration current = migrations.get(name);
     Migration next = null;
     try {
-      next = asked(name, there, Ask.valueOf(item.data().path("ask").asText()));
+      next = applyRequest(name, current, Request.valueOf(item.data().path("ask").asText()));
     } catch (IllegalArgumentException e) {
       LOG.info("migration {}: nobody knows what {} is", name, item.data());
     }
     if (next != null) {
-      put(txn, there, next, item.data().path("by").asText(), steps);
+      putStep(txn, current, next, item.data().path("by").asText(), steps);
     }
   }
 
-  private Migration asked(String name, Migration there, Ask ask) {
-    long wall = env.wallMillis();
+  private Migration applyRequest(String name, Migration current, Request request) {
+    long wallMs = env.wallMillis();
     Workload workload = workloads.get(name);
-    if (there == null || there.phase() == Phase.OLD) {
+    if (current == null || current.phase() == Phase.OLD) {
       // Only what rests on the old side begins, and then by the newest document.
-      return ask == Ask.START && workload != null
+      return request == Request.START && workload != null
           ? new Migration(
-              workload, Phase.CANARY, there == null ? 1 : there.epoch() + 1, wall, false)
+              workload, Phase.CANARY, current == null ? 1 : current.epoch() + 1, wallMs, false)
           : null;
     }
-    return switch (ask) {
+    return switch (request) {
       case START -> null;
-      case PAUSE -> there.rests() ? null : there.pause();
-      case RESUME -> there.rests() ? there.resumed(wall) : null;
-      case BACK -> there.phase() == Phase.BACK ? null : there.to(Phase.BACK, wall);
+      case PAUSE -> current.paused() ? null : current.withPause();
+      case RESUME -> current.paused() ? current.withoutPause(wallMs) : null;
+      case BACK -> current.phase() == Phase.BACK ? null : current.withPhase(Phase.BACK, wallMs);
     };
   }
 
   /** The step that is due, or null. */
-  private Migration step(Migration migration) {
+  private Migration dueStep(Migration migration) {
     Phase next = migration.phase().next();
-    boolean ends = migration.phase() == Phase.OLD || next == null;
+    boolean terminal = migration.phase() == Phase.OLD || next == null;
     long soakMs = (long) (migration.workload().soakS() * 1000);
-    long since = env.wallMillis() - migration.sinceMs();
-    if (migration.rests() || ends || since < soakMs) {
+    long elapsedMs = env.wallMillis() - migration.sinceMs();
+    if (migration.paused() || terminal || elapsedMs < soakMs) {
       return null;
     }
-    if (whole(migration)) {
-      return migration.to(next, env.wallMillis());
+    if (isComplete(migration)) {
+      return migration.withPhase(next, env.wallMillis());
     }
-    if (since > Constants.UNHEALTHY_SOAK_FACTOR * soakMs && migration.phase() != Phase.BACK) {
+    if (elapsedMs > Constants.UNHEALTHY_SOAK_FACTOR * soakMs && migration.phase() != Phase.BACK) {
       LOG.info(
           "migration {}: {} is not whole after {} s",
           migration.workload().name(),
           migration.phase(),
-          since / 1000);
-      return migration.workload().backWhenIll()
-          ? migration.to(Phase.BACK, env.wallMillis())
-          : migration.pause();
+          elapsedMs / 1000);
+      return migration.workload().rollBackIfIncomplete()
+          ? migration.withPhase(Phase.BACK, env.wallMillis())
+          : migration.withPause();
     }
     return null;
   }
 
   /** Whether every replica of the workload's services stands on its side, by the records. */
-  private boolean whole(Migration migration) {
+  private boolean isComplete(Migration migration) {
     for (JobIndex.Job job : index.all().values()) {
       if (!job.spec.isService() || !migration.workload().matches(job.spec)) {
         continue;
       }
-      Shared sides = Shared.of(migration, job.spec);
-      int right = 0;
+      JobSides sides = JobSides.of(migration, job.spec);
+      int onRightSide = 0;
       for (TaskState.TaskPlacement place : job.places()) {
         BlockIndex.Block block = blocks.blockOf(place.host());
         if (block != null) {
-          BlockClass of = block.record().blockClass();
-          boolean there =
+          BlockClass blockClass = block.record().blockClass();
+          boolean contained =
               sides.contains(
                   sides.sideOf(place.task()),
                   place.host(),
-                  of.machineType(),
-                  of.zone(),
-                  of.preemptible());
-          right += there ? 1 : 0;
+                  blockClass.machineType(),
+                  blockClass.zone(),
+                  blockClass.preemptible());
+          onRightSide += contained ? 1 : 0;
         }
       }
-      if (right < job.spec.taskCount()) {
+      if (onRightSide < job.spec.taskCount()) {
         return false;
       }
     }
     return true;
   }
 
-  private void put(Txn txn, Migration from, Migration to, String by, List<String> steps) {
+  private void putStep(Txn txn, Migration from, Migration to, String by, List<String> steps) {
     String name = to.workload().name();
     String key = Wire.key(Replica.MIGRATIONS, name);
-    String entry = Wire.key(Replica.MIGRATION_HISTORY, name + "/" + to.epoch());
-    String before = from == null ? "none" : text(from);
+    String historyKey = Wire.key(Replica.MIGRATION_HISTORY, name + "/" + to.epoch());
+    String before = from == null ? "none" : describe(from);
     txn.guard(key, replica.stamp(Replica.MIGRATIONS, name))
         .put(key, to.toNode())
-        .guard(entry, 0)
+        .guard(historyKey, 0)
         .put(
-            entry,
+            historyKey,
             Cbor.map()
                 .put("at", env.wallMillis())
                 .put("by", by)
                 .put("from", before)
-                .put("to", text(to)));
-    steps.add(name + ": from " + before + " to " + text(to) + " by " + by);
+                .put("to", describe(to)));
+    steps.add(name + ": from " + before + " to " + describe(to) + " by " + by);
   }
 
-  private static String text(Migration migration) {
+  private static String describe(Migration migration) {
     return migration.phase().name().toLowerCase(Locale.ROOT)
-        + (migration.rests() ? ", paused" : "");
+        + (migration.paused() ? ", paused" : "");
   }
 }
--- a/src/main/java/dunlincroft/migration/Side.java
+++ b/src/main/java/dunlincroft/migration/MigrationSide.java
@@ -13,27 +13,28 @@
  * The machines of one side of a workload; what is null does not matter. {@code from} and {@code to}
  * are a part of the ring of machines' names, from 0 to 1.
  */
-record Side(List<String> zones, List<String> types, Boolean spot, double from, double to) {
-  boolean has(String host, String type, String zone, boolean cheap) {
-    double at = (Hashing.of(host) >>> 11) * 0x1p-53;
+record MigrationSide(
+    List<String> zones, List<String> types, Boolean spot, double hashFrom, double hashTo) {
+  boolean contains(String host, String type, String zone, boolean preemptible) {
+    double hash = (Hashing.of(host) >>> 11) * 0x1p-53;
     return (zones == null || zones.contains(zone))
         && (types == null || types.contains(type))
-        && (spot == null || spot == cheap)
-        && at >= from
-        && at < to;
+        && (spot == null || spot == preemptible)
+        && hash >= hashFrom
+        && hash < hashTo;
   }
 
   /** Whether no machine can be of both. */
-  boolean apart(Side other) {
+  boolean isDisjointFrom(MigrationSide other) {
     return (zones != null && other.zones != null && Collections.disjoint(zones, other.zones))
         || (types != null && other.types != null && Collections.disjoint(types, other.types))
         || (spot != null && other.spot != null && !spot.equals(other.spot))
-        || to <= other.from
-        || other.to <= from;
+        || hashTo <= other.hashFrom
+        || other.hashTo <= hashFrom;
   }
 
   ObjectNode toNode() {
-    ObjectNode map = Cbor.map().put("from", from).put("to", to);
+    ObjectNode map = Cbor.map().put("from", hashFrom).put("to", hashTo);
     if (zones != null) {
       zones.forEach(map.putArray("zones")::add);
     }
@@ -46,8 +47,8 @@
     return map;
   }
 
-  static Side parse(JsonNode map) throws MalformedException {
-    return new Side(
+  static MigrationSide parse(JsonNode map) throws MalformedException {
+    return new MigrationSide(
         Fields.textsOrNull(map, "zones"),
         Fields.textsOrNull(map, "types"),
         Fields.isAbsent(map, "spot") ? null : Fields.flag(map, "spot"),
--- a/src/main/java/dunlincroft/migration/Workload.java
+++ b/src/main/java/dunlincroft/migration/Workload.java
@@ -24,12 +24,12 @@
     String team,
     String image,
     String prefix,
-    Side old,
-    Side fresh,
-    double canary,
-    double share,
+    MigrationSide oldSide,
+    MigrationSide newSide,
+    double canaryShare,
+    double bothShare,
     double soakS,
-    boolean backWhenIll) {
+    boolean rollBackIfIncomplete) {
   private static final Set<String> FIELDS =
       Set.of("name", "select", "old", "new", "canary", "share", "soak_s", "when_ill");
 
@@ -45,23 +45,23 @@
     ObjectNode map =
         Cbor.map()
             .put("name", name)
-            .put("canary", canary)
-            .put("share", share)
+            .put("canary", canaryShare)
+            .put("share", bothShare)
             .put("soak_s", soakS)
-            .put("when_ill", backWhenIll ? "back" : "pause");
+            .put("when_ill", rollBackIfIncomplete ? "back" : "pause");
     map.putObject("select")
         .put("class", jobclass)
         .put("team", team)
         .put("image", image)
         .put("prefix", prefix);
-    map.set("old", old.toNode());
-    map.set("new", fresh.toNode());
+    map.set("old", oldSide.toNode());
+    map.set("new", newSide.toNode());
     return map;
   }
 
   static Workload parse(JsonNode map) throws MalformedException {
-    for (var names = map.fieldNames(); names.hasNext(); ) {
-      String field = names.next();
+    for (var fieldNames = map.fieldNames(); fieldNames.hasNext(); ) {
+      String field = fieldNames.next();
       if (!FIELDS.contains(field)) {
         throw new MalformedException(field + ": there is no such field");
       }
@@ -74,24 +74,24 @@
             Fields.textOrNull(select, "team"),
             Fields.textOrNull(select, "image"),
             Fields.textOrNull(select, "prefix"),
-            Side.parse(map.path("old")),
-            Side.parse(map.path("new")),
+            MigrationSide.parse(map.path("old")),
+            MigrationSide.parse(map.path("new")),
             Fields.amountOr(map, "canary", Constants.CANARY_FRACTION),
             Fields.amountOr(map, "share", Constants.BOTH_PHASE_FRACTION),
             Fields.amountOr(map, "soak_s", Constants.SOAK_S),
             "back".equals(Fields.textOrNull(map, "when_ill")));
-    String ill = Fields.textOrNull(map, "when_ill");
+    String whenIll = Fields.textOrNull(map, "when_ill");
     if (!workload.name.matches("[a-z0-9][a-z0-9-]{0,39}")) {
       throw new MalformedException("name: small letters, digits and dashes, 40 at the most");
     }
-    if (ill != null && !ill.equals("back") && !ill.equals("pause")) {
+    if (whenIll != null && !whenIll.equals("back") && !whenIll.equals("pause")) {
       throw new MalformedException("when_ill: pause or back");
     }
-    if (workload.canary > workload.share || workload.share > 1) {
+    if (workload.canaryShare > workload.bothShare || workload.bothShare > 1) {
       throw new MalformedException(
           "canary, share: from 0 to 1, and the canary no more than the share");
     }
-    if (!workload.old.apart(workload.fresh)) {
+    if (!workload.oldSide.isDisjointFrom(workload.newSide)) {
       throw new MalformedException("old, new: a machine may be of both");
     }
     if (select.isEmpty()) {
@@ -114,25 +114,25 @@
               + ": "
               + e.getOriginalMessage());
     }
-    List<String> faults = new ArrayList<>();
+    List<String> errors = new ArrayList<>();
     List<Workload> workloads = new ArrayList<>();
     JsonNode list = root.path("workloads");
     if (!list.isArray() || list.isEmpty()) {
-      faults.add("workloads: there must be one at the least");
+      errors.add("workloads: there must be one at the least");
     }
     for (int i = 0; i < list.size(); i++) {
       try {
         Workload workload = parse(list.get(i));
         if (workloads.stream().anyMatch(other -> other.name.equals(workload.name))) {
-          faults.add("workloads[" + i + "].name: " + workload.name + " is there twice");
+          errors.add("workloads[" + i + "].name: " + workload.name + " is there twice");
         }
         workloads.add(workload);
       } catch (MalformedException e) {
-        faults.add("workloads[" + i + "]." + e.getMessage());
+        errors.add("workloads[" + i + "]." + e.getMessage());
       }
     }
-    if (!faults.isEmpty()) {
-      throw new MalformedException(String.join("\n", faults));
+    if (!errors.isEmpty()) {
+      throw new MalformedException(String.join("\n", errors));
     }
     return workloads;
   }
--- a/src/main/java/dunlincroft/operators/Expression.java
+++ b/src/main/java/dunlincroft/operators/Expression.java
@@ -7,47 +7,48 @@
  *
  * @param constant true when the value depends on no input
  */
-record Expression(Kind kind, boolean constant, Function<Inputs, Object> value) {
+record Expression(ValueType type, boolean constant, Function<Inputs, Object> value) {
   /** Numbers stay within this, so that no sum or product becomes infinite or undefined. */
-  private static final double MOST = 1e15;
+  private static final double MAX_MAGNITUDE = 1e15;
 
   static Expression of(double number) {
-    double held = hold(number);
-    return new Expression(Kind.NUMBER, true, in -> held);
+    double clamped = clamp(number);
+    return new Expression(ValueType.NUMBER, true, inputs -> clamped);
   }
 
-  static Expression of(boolean truth) {
-    return new Expression(Kind.TRUTH, true, in -> truth);
+  static Expression of(boolean bool) {
+    return new Expression(ValueType.BOOLEAN, true, inputs -> bool);
   }
 
   static Expression of(String text) {
-    return new Expression(Kind.TEXT, true, in -> text);
+    return new Expression(ValueType.STRING, true, inputs -> text);
   }
 
-  static Expression input(Kind kind, String name) {
-    return new Expression(kind, false, in -> in.get(name));
+  static Expression input(ValueType type, String name) {
+    return new Expression(type, false, inputs -> inputs.get(name));
   }
 
-  double number(Inputs in) {
-    return (Double) value.apply(in);
+  double number(Inputs inputs) {
+    return (Double) value.apply(inputs);
   }
 
-  boolean truth(Inputs in) {
-    return (Boolean) value.apply(in);
+  boolean bool(Inputs inputs) {
+    return (Boolean) value.apply(inputs);
   }
 
   /** An expression of the values of others; one of constants alone is worked out once. */
-  static Expression from(Kind kind, Function<Inputs, Object> value, Expression... parts) {
-    for (Expression part : parts) {
-      if (!part.constant) {
-        return new Expression(kind, false, value);
+  static Expression combine(
+      ValueType type, Function<Inputs, Object> value, Expression... operands) {
+    for (Expression operand : operands) {
+      if (!operand.constant) {
+        return new Expression(type, false, value);
       }
     }
-    Object known = value.apply(Inputs.NONE);
-    return new Expression(kind, true, in -> known);
+    Object constantValue = value.apply(Inputs.NONE);
+    return new Expression(type, true, inputs -> constantValue);
   }
 
-  static double hold(double number) {
-    return Math.max(-MOST, Math.min(MOST, number));
+  static double clamp(double number) {
+    return Math.max(-MAX_MAGNITUDE, Math.min(MAX_MAGNITUDE, number));
   }
 }
--- a/src/main/java/dunlincroft/operators/Lexer.java
+++ b/src/main/java/dunlincroft/operators/Lexer.java
@@ -9,26 +9,26 @@
 /** Splits an operators' file into tokens, each with its place. */
 final class Lexer {
   /** The kinds of tokens; END follows the last one. */
-  enum Sort {
+  enum TokenType {
     NUMBER,
-    TEXT,
+    STRING,
     WORD,
-    SIGN,
+    SYMBOL,
     END
   }
 
-  record Token(Sort sort, String text, int line, int column) {
+  record Token(TokenType type, String text, int line, int column) {
     boolean is(String expected) {
-      return (sort == Sort.SIGN || sort == Sort.WORD) && text.equals(expected);
+      return (type == TokenType.SYMBOL || type == TokenType.WORD) && text.equals(expected);
     }
 
-    MalformedException fault(String message) {
+    MalformedException error(String message) {
       return new MalformedException("line " + line + ", column " + column + ": " + message);
     }
 
     /** How an error names it. */
-    String said() {
-      return sort == Sort.END ? "the end" : "'" + text + "'";
+    String description() {
+      return type == TokenType.END ? "the end" : "'" + text + "'";
     }
   }
 
@@ -42,35 +42,36 @@
 
   private Lexer() {}
 
-  static List<Token> split(String file) throws MalformedException {
+  static List<Token> tokenize(String file) throws MalformedException {
     List<Token> tokens = new ArrayList<>();
     Matcher matcher = TOKEN.matcher(file);
     int line = 1;
     int lineStart = 0;
-    int at = 0;
-    while (at < file.length()) {
-      int column = at - lineStart + 1;
-      if (!matcher.region(at, file.length()).lookingAt()) {
-        String odd = file.substring(at, file.offsetByCodePoints(at, 1));
-        throw new Token(Sort.SIGN, odd, line, column).fault("unexpected '" + odd + "'");
+    int offset = 0;
+    while (offset < file.length()) {
+      int column = offset - lineStart + 1;
+      if (!matcher.region(offset, file.length()).lookingAt()) {
+        String unexpected = file.substring(offset, file.offsetByCodePoints(offset, 1));
+        throw new Token(TokenType.SYMBOL, unexpected, line, column)
+            .error("unexpected '" + unexpected + "'");
       }
       if (matcher.group("number") != null) {
-        tokens.add(new Token(Sort.NUMBER, matcher.group(), line, column));
+        tokens.add(new Token(TokenType.NUMBER, matcher.group(), line, column));
       } else if (matcher.group("text") != null) {
-        tokens.add(new Token(Sort.TEXT, matcher.group("text"), line, column));
+        tokens.add(new Token(TokenType.STRING, matcher.group("text"), line, column));
       } else if (matcher.group("word") != null) {
-        tokens.add(new Token(Sort.WORD, matcher.group(), line, column));
+        tokens.add(new Token(TokenType.WORD, matcher.group(), line, column));
       } else if (matcher.group("sign") != null) {
-        tokens.add(new Token(Sort.SIGN, matcher.group(), line, column));
+        tokens.add(new Token(TokenType.SYMBOL, matcher.group(), line, column));
       }
-      for (; at < matcher.end(); at++) {
-        if (file.charAt(at) == '\n') {
+      for (; offset < matcher.end(); offset++) {
+        if (file.charAt(offset) == '\n') {
           line++;
-          lineStart = at + 1;
+          lineStart = offset + 1;
         }
       }
     }
-    tokens.add(new Token(Sort.END, "", line, at - lineStart + 1));
+    tokens.add(new Token(TokenType.END, "", line, offset - lineStart + 1));
     return tokens;
   }
 }
--- a/src/main/java/dunlincroft/operators/Setting.java
+++ b/src/main/java/dunlincroft/operators/Setting.java
@@ -25,51 +25,60 @@
   /** Names that an expression may use, with their types. */
   enum Scope {
     NONE(Map.of()),
-    MACHINE(Map.of("type", Kind.TEXT, "zone", Kind.TEXT, "spot", Kind.TRUTH, "cpus", Kind.NUMBER)),
-    TYPE(Map.of("type", Kind.TEXT, "cpus", Kind.NUMBER, "price", Kind.NUMBER)),
+    MACHINE(
+        Map.of(
+            "type",
+            ValueType.STRING,
+            "zone",
+            ValueType.STRING,
+            "spot",
+            ValueType.BOOLEAN,
+            "cpus",
+            ValueType.NUMBER)),
+    TYPE(Map.of("type", ValueType.STRING, "cpus", ValueType.NUMBER, "price", ValueType.NUMBER)),
     JOB(
         Map.of(
-            "team", Kind.TEXT,
-            "class", Kind.TEXT,
-            "rank", Kind.TEXT,
-            "service", Kind.TRUTH,
-            "tasks", Kind.NUMBER,
-            "cpus", Kind.NUMBER));
+            "team", ValueType.STRING,
+            "class", ValueType.STRING,
+            "rank", ValueType.STRING,
+            "service", ValueType.BOOLEAN,
+            "tasks", ValueType.NUMBER,
+            "cpus", ValueType.NUMBER));
 
-    final Map<String, Kind> names;
+    final Map<String, ValueType> names;
 
-    Scope(Map<String, Kind> names) {
+    Scope(Map<String, ValueType> names) {
       this.names = new TreeMap<>(names);
     }
   }
 
   final String label;
   final Scope scope;
-  final Kind kind;
-  final double least;
-  final double most;
-  final Expression preset;
+  final ValueType type;
+  final double min;
+  final double max;
+  final Expression defaultValue;
 
-  Setting(String label, Scope scope, double least, double most, double preset) {
+  Setting(String label, Scope scope, double min, double max, double defaultValue) {
     this.label = label;
     this.scope = scope;
-    this.kind = Kind.NUMBER;
-    this.least = least;
-    this.most = most;
-    this.preset = Expression.of(preset);
+    this.type = ValueType.NUMBER;
+    this.min = min;
+    this.max = max;
+    this.defaultValue = Expression.of(defaultValue);
   }
 
   /** A setting that is true or false, and true without a file. */
   Setting(String label, Scope scope) {
     this.label = label;
     this.scope = scope;
-    this.kind = Kind.TRUTH;
-    this.least = 0;
-    this.most = 0;
-    this.preset = Expression.of(true);
+    this.type = ValueType.BOOLEAN;
+    this.min = 0;
+    this.max = 0;
+    this.defaultValue = Expression.of(true);
   }
 
-  static Setting named(String label) {
+  static Setting byLabel(String label) {
     for (Setting setting : values()) {
       if (setting.label.equals(label)) {
         return setting;
--- a/src/test/java/dunlincroft/calendar/PlanTest.java
+++ b/src/test/java/dunlincroft/calendar/CalendarDocumentTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class PlanTest {
-  private static String document(String zone, String more, String window) {
+class CalendarDocumentTest {
+  private static String document(String zone, String marketFields, String windowFields) {
     return """
         zone = "%s"
         [markets.m]
@@ -31,12 +31,12 @@
         select = { class = "c" }
         %s
         """
-        .formatted(zone, more, window);
+        .formatted(zone, marketFields, windowFields);
   }
 
   private static List<Night> nights(String document, String from, String to)
       throws MalformedException {
-    return Plan.parse(document).nights(LocalDate.parse(from), LocalDate.parse(to), 1);
+    return CalendarDocument.parse(document).nights(LocalDate.parse(from), LocalDate.parse(to), 1);
   }
 
   private static String dates(List<Night> nights) {
@@ -57,7 +57,7 @@
     "22:00, 06:00, 2026-12-02, 2026-12-02T22:00:00Z, 2026-12-03T06:00:00Z",
     "12:00, 18:00, 2026-07-01, 2026-07-01T11:00:00Z, 2026-07-01T17:00:00Z"
   })
-  void nightsInWhichClocksChangeAreDefined(
+  void nightsAreDefinedAcrossClockChanges(
       String opens, String cutOff, String date, Instant from, Instant to)
       throws MalformedException {
     String week = "days = [\"mon\",\"tue\",\"wed\",\"thu\",\"fri\",\"sat\",\"sun\"]";
@@ -76,7 +76,7 @@
     "modified_following, 2026-01-30",
     "skip, ''"
   })
-  void aDateThatIsNoTradingDayIsRolled(String roll, String date) throws MalformedException {
+  void datesOtherThanTradingDaysAreRolled(String roll, String date) throws MalformedException {
     String window =
         "day_of_month = -1\nopens = \"21:00\"\ncut_off = \"05:00\"\nroll = \"%s\"".formatted(roll);
     String document = document("Africa/Nairobi", "holidays = [\"2026-02-02\"]", window);
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void everyFaultIsNamedInOneRun() {
+  void allErrorsAreReportedTogether() {
     String faulty =
         """
         zone = "Europe/Atlantis"
@@ -116,7 +116,7 @@
         cut_off = "06:00"
         roll = "sideways"
         """;
-    assertThatThrownBy(() -> Plan.parse(faulty))
+    assertThatThrownBy(() -> CalendarDocument.parse(faulty))
         .isInstanceOf(MalformedException.class)
         .extracting(Throwable::getMessage)
         .asString()
@@ -131,7 +131,7 @@
             "windows[1].cut_off: ",
             "windows[1].roll: ",
             "windows[1].select: ");
-    assertThatThrownBy(() -> Plan.parse("zone = ")).hasMessageContaining("line 1");
+    assertThatThrownBy(() -> CalendarDocument.parse("zone = ")).hasMessageContaining("line 1");
   }
 
   @Provide
@@ -141,7 +141,7 @@
 
   /** Whatever clocks do, for years ahead: a night ends after it opens, within a day. */
   @Property(seed = "31", tries = 200)
-  void nightsAreInOrderAndOfTheirLength(
+  void nightsHaveTheConfiguredLength(
       @ForAll("zones") String zone,
       @ForAll @IntRange(max = 1439) int opens,
       @ForAll @IntRange(max = 1439) int cutOff,
@@ -153,7 +153,8 @@
     String window = "opens = \"%s\"\ncut_off = \"%s\"".formatted(time(opens), time(cutOff));
     String week = "days = [\"mon\",\"tue\",\"wed\",\"thu\",\"fri\",\"sat\",\"sun\"]";
     LocalDate from = LocalDate.of(2026, 1, 1).plusDays(day);
-    List<Night> nights = Plan.parse(document(zone, week, window)).nights(from, from.plusDays(6), 1);
+    List<Night> nights =
+        CalendarDocument.parse(document(zone, week, window)).nights(from, from.plusDays(6), 1);
     assertThat(nights).hasSize(7);
     long length = Math.floorMod(cutOff - opens, 1440);
     for (Night night : nights) {
--- a/src/test/java/dunlincroft/operators/PolicyTest.java
+++ b/src/test/java/dunlincroft/operators/PolicyTest.java
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void rulesDependOnWhatTheirScopeOffers() throws MalformedException {
+  void rulesUseTheInputsOfTheirScope() throws MalformedException {
     Policy policy =
         Policy.parse(
             """
@@ -56,14 +56,16 @@
             rentals_most = if type == "m16" then 12 else 0;
             spare = 1000000 * price * 1000000 * price * 1000000;
             """);
-    assertThat(policy.bound(TYPE, "a", true)).isEqualTo(0.5);
-    assertThat(policy.bound(TYPE, "b", true)).isEqualTo(0.9);
-    assertThat(policy.buffer(job("red"))).isEqualTo(2);
-    assertThat(policy.spot(job("red"))).isFalse();
-    assertThat(policy.spot(job("blue"))).isTrue();
-    assertThat(policy.rentalsMost(TYPE)).isEqualTo(12);
-    assertThat(policy.spare(TYPE)).as("kept in its range").isEqualTo(Constants.MAX_SPARE_MACHINES);
-    assertThat(policy.reserve(TYPE, "a", false))
+    assertThat(policy.loadBound(TYPE, "a", true)).isEqualTo(0.5);
+    assertThat(policy.loadBound(TYPE, "b", true)).isEqualTo(0.9);
+    assertThat(policy.maxPlacementBuffer(job("red"))).isEqualTo(2);
+    assertThat(policy.isSpotEnabled(job("red"))).isFalse();
+    assertThat(policy.isSpotEnabled(job("blue"))).isTrue();
+    assertThat(policy.maxRentals(TYPE)).isEqualTo(12);
+    assertThat(policy.spareMachinesPerZone(TYPE))
+        .as("kept in its range")
+        .isEqualTo(Constants.MAX_SPARE_MACHINES);
+    assertThat(policy.serviceReserve(TYPE, "a", false))
         .as("a preset")
         .isEqualTo(Constants.SERVICE_RESERVE);
   }
@@ -87,14 +89,14 @@
         "spot = 'x'; | line 1, column 8: unexpected '''",
         "bound = then; | line 1, column 9: expected a value, found 'then'",
       })
-  void faultsNameTheirPlace(String file, String message) {
+  void errorsNameLineAndColumn(String file, String message) {
     assertThatThrownBy(() -> Policy.parse(file))
         .isInstanceOf(MalformedException.class)
         .hasMessageContaining(message);
   }
 
   @Test
-  void placesCountLinesAndNestingEnds() {
+  void linesAreCountedAndSizeIsLimited() {
     assertThatThrownBy(() -> Policy.parse("# one\n  bound = ?;"))
         .hasMessageContaining("line 2, column 11");
     assertThatThrownBy(() -> Policy.parse("bound = " + "(".repeat(100_000)))
@@ -106,7 +108,7 @@
   }
 
   @Property(seed = "3", tries = 1000)
-  void noTextDoesMoreThanFailItsCheck(@ForAll @StringLength(max = 60) String text) {
+  void arbitraryTextIsParsedOrRejectedWithAPosition(@ForAll @StringLength(max = 60) String text) {
     try {
       assertThat(Policy.parse("buffer = " + text)).isNotNull();
     } catch (MalformedException e) {
@@ -116,34 +118,41 @@
 
   /** Every generated expression of numbers passes, and has a value in range for every input. */
   @Property(seed = "4", tries = 1000)
-  void whatPassesHasAValueInItsRange(@ForAll long seed) throws MalformedException {
-    String text = number(new Random(seed), 3);
+  void acceptedExpressionsHaveValuesInRange(@ForAll long seed) throws MalformedException {
+    String text = numberExpression(new Random(seed), 3);
     JobSpec spec = job("red");
     try {
-      double value = Policy.parse("buffer = " + text + ";").buffer(spec);
+      double value = Policy.parse("buffer = " + text + ";").maxPlacementBuffer(spec);
       assertThat(value).isBetween(0.0, Constants.MAX_LOAD_BUFFER);
     } catch (MalformedException e) {
       assertThat(e.getMessage()).as(text).contains("buffer must be from");
     }
   }
 
-  private static String number(Random random, int depth) {
+  private static String numberExpression(Random random, int depth) {
     if (depth == 0) {
       return List.of("tasks", "cpus", "0.5", "3", "999999999999").get(random.nextInt(5));
     }
-    String left = number(random, depth - 1);
-    String right = number(random, depth - 1);
+    String left = numberExpression(random, depth - 1);
+    String right = numberExpression(random, depth - 1);
     return switch (random.nextInt(6)) {
       case 0 -> "(" + left + " + " + right + ")";
       case 1 -> "(" + left + " - " + right + ")";
       case 2 -> left + " * (" + right + ")";
       case 3 -> "max(" + left + ", -(" + right + ") / 3)";
-      case 4 -> "(if " + truth(random, left, right) + " then " + left + " else " + right + ")";
+      case 4 ->
+          "(if "
+              + booleanExpression(random, left, right)
+              + " then "
+              + left
+              + " else "
+              + right
+              + ")";
       default -> "min(" + left + "," + right + ")";
     };
   }
 
-  private static String truth(Random random, String left, String right) {
+  private static String booleanExpression(Random random, String left, String right) {
     return switch (random.nextInt(4)) {
       case 0 -> "not service and team == \"red\"";
       case 1 -> left + " <= " + right;
--- a/src/test/java/dunlincroft/sim/AliveTest.java
+++ b/src/test/java/dunlincroft/sim/AliveTest.java
@@ -39,7 +39,7 @@
   }
 
   static SimCluster busy(long seed, Size size) throws MalformedException {
-    SimCluster cluster = new SimCluster(seed, Policy.PRESET, size);
+    SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, size);
     cluster.checks.troublesOver(AT_MS + 80_000);
     Random random = new Random(seed);
     for (int i = 0; i < 80; i++) {
@@ -154,7 +154,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void lateCopiesAreNoSignOfLife(long seed) throws MalformedException {
-    SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
+    SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.checks.troublesOver(180_000);
     cluster.copies = 0.3;
     Random random = new Random(seed);
--- a/src/test/java/dunlincroft/sim/CalendarTest.java
+++ b/src/test/java/dunlincroft/sim/CalendarTest.java
@@ -43,78 +43,79 @@
   /** What fails, around the opening and the cut-off. */
   private enum Fault {
     NONE(cluster -> {}),
-    HOLDER_ENDS(
+    OWNER_CRASHES_TWICE(
         cluster -> {
           cluster.crashHolder(30_000);
           cluster.clock.after(1500, () -> cluster.crashHolder(200));
         }),
-    ALL_END(cluster -> cluster.crashAll(200)),
-    ALL_END_AGAIN_AND_AGAIN(
+    ALL_CRASH(cluster -> cluster.crashAll(200)),
+    ALL_CRASH_REPEATEDLY(
         cluster -> {
           for (int i = 0; i < 5; i++) {
             cluster.clock.after(700L * i, () -> cluster.crashAll(200));
           }
         }),
-    LEADER_STANDS_STILL(cluster -> cluster.freezeHolder(40_000)),
-    EVERYBODY_STANDS_STILL(cluster -> cluster.freezeAll(8000)),
-    ALONE_WITH_ITS_WORKERS(cluster -> cluster.cutHolderFromControllers(30_000)),
-    NO_STATE_SERVICE(cluster -> cluster.state.outage(20_000)),
-    SLOW_STATE_SERVICE(cluster -> cluster.slowState(30, 20_000)),
-    ORDERS_ARE_HELD_BACK(cluster -> cluster.cutHolderFromWorkers(15_000)),
-    A_ZONE_IS_LOST(cluster -> cluster.cutZone(cluster.zoneWithoutTheHolder(), 30_000)),
-    LATE_COPIES_AND_DEAF_MACHINES(
+    OWNER_PAUSES(cluster -> cluster.freezeHolder(40_000)),
+    ALL_PAUSE(cluster -> cluster.freezeAll(8000)),
+    OWNER_PARTITIONED_WITH_WORKERS(cluster -> cluster.cutHolderFromControllers(30_000)),
+    STATE_SERVICE_DOWN(cluster -> cluster.state.outage(20_000)),
+    STATE_SERVICE_SLOW(cluster -> cluster.slowState(30, 20_000)),
+    OWNER_PARTITIONED_FROM_WORKERS(cluster -> cluster.cutHolderFromWorkers(15_000)),
+    ZONE_PARTITIONED(cluster -> cluster.cutZone(cluster.zoneWithoutTheHolder(), 30_000)),
+    DUPLICATES_AND_LOST_ANSWERS(
         cluster -> {
           cluster.copies = 0.5;
           cluster.cloud.machines.values().stream().limit(8).forEach(w -> w.deafen(20_000));
         });
 
-    private final Consumer<SimCluster> act;
+    private final Consumer<SimCluster> injection;
 
-    Fault(Consumer<SimCluster> act) {
-      this.act = act;
+    Fault(Consumer<SimCluster> injection) {
+      this.injection = injection;
     }
   }
 
-  private static SimCluster night(long seed, String document) throws MalformedException {
-    return night(seed, document, Policy.PRESET);
+  private static SimCluster clusterWithCalendar(long seed, String document)
+      throws MalformedException {
+    return clusterWithCalendar(seed, document, Policy.DEFAULT);
   }
 
-  private static SimCluster night(long seed, String document, Policy policy)
+  private static SimCluster clusterWithCalendar(long seed, String document, Policy policy)
       throws MalformedException {
     SimCluster cluster = new SimCluster(seed, policy, Size.FLEET);
     cluster.put("calendar", document);
     cluster.checks.window("simple", OPENS_MS, CUT_OFF_MS);
     Random random = new Random(seed);
     for (int i = 0; i < 40; i++) {
-      JobSpec night = RulesTest.simple("run-n" + i, "blue", 10, 1);
-      JobSpec other = RulesTest.job(random, i);
-      cluster.clock.after(3000 + 2500L * i, () -> cluster.user(night, 0));
-      cluster.clock.after(3000 + 2500L * i, () -> cluster.user(other, 0));
+      JobSpec windowJob = RulesTest.simple("run-n" + i, "blue", 10, 1);
+      JobSpec otherJob = RulesTest.job(random, i);
+      cluster.clock.after(3000 + 2500L * i, () -> cluster.user(windowJob, 0));
+      cluster.clock.after(3000 + 2500L * i, () -> cluster.user(otherJob, 0));
     }
     return cluster;
   }
 
-  private static JsonNode phase(SimCluster cluster) {
+  private static JsonNode phaseOfNight(SimCluster cluster) {
     Map<String, JsonNode> nights = cluster.state.under("d/nights/");
     return nights.get("night@2023-11-14").path("phase");
   }
 
   @ParameterizedTest
   @EnumSource(Fault.class)
-  void nothingOfAWindowBeginsOutsideOfIt(Fault fault) throws MalformedException {
-    SimCluster cluster = night(41, document("stop", "22:16"));
-    cluster.clock.after(OPENS_MS - 1500, () -> fault.act.accept(cluster));
-    cluster.clock.after(CUT_OFF_MS - 8000, () -> fault.act.accept(cluster));
+  void tasksOfAWindowStartOnlyWithinIt(Fault fault) throws MalformedException {
+    SimCluster cluster = clusterWithCalendar(41, document("stop", "22:16"));
+    cluster.clock.after(OPENS_MS - 1500, () -> fault.injection.accept(cluster));
+    cluster.clock.after(CUT_OFF_MS - 8000, () -> fault.injection.accept(cluster));
     // Work that is there all the time, more than there is room for.
-    JobSpec many = RulesTest.simple("run-many", "blue", 6000, 1);
-    cluster.clock.after(20_000, () -> cluster.user(many, 0));
+    JobSpec largeJob = RulesTest.simple("run-many", "blue", 6000, 1);
+    cluster.clock.after(20_000, () -> cluster.user(largeJob, 0));
     cluster.clock.runUntil(OPENS_MS);
     assertThat(cluster.checks.windowed).as("before it opens").isZero();
     cluster.clock.runUntil(CUT_OFF_MS - 10_000);
     assertThat(cluster.checks.windowed).as("in its time").isGreaterThan(300);
     cluster.clock.runUntil(CUT_OFF_MS + 60_000);
     assertThat(cluster.checks.running("run-many")).isZero();
-    assertThat(phase(cluster).asText()).isEqualTo("closed");
+    assertThat(phaseOfNight(cluster).asText()).isEqualTo("closed");
     cluster.clock.runUntil(400_000);
     assertThat(cluster.checks.broken).isEmpty();
     assertThat(cluster.checks.toldFinal)
@@ -130,23 +131,23 @@
    * A night goes on by the version that it began with; the next version holds for those to come.
    */
   @Test
-  void aNewVersionDoesNotTouchANightThatIsOpen() throws MalformedException {
-    SimCluster cluster = night(42, document("finish", "22:16"));
+  void newVersionDoesNotChangeAnOpenNight() throws MalformedException {
+    SimCluster cluster = clusterWithCalendar(42, document("finish", "22:16"));
     cluster.clock.runUntil(OPENS_MS + 20_000);
-    assertThat(phase(cluster).asText()).isEqualTo("open");
+    assertThat(phaseOfNight(cluster).asText()).isEqualTo("open");
     cluster.put("calendar", document("stop", "22:15"));
     cluster.crashAll(200);
     cluster.clock.runUntil(CUT_OFF_MS - 15_000);
-    assertThat(phase(cluster).asText()).isEqualTo("open");
+    assertThat(phaseOfNight(cluster).asText()).isEqualTo("open");
     cluster.clock.runUntil(400_000);
-    assertThat(phase(cluster).asText()).isEqualTo("closed");
+    assertThat(phaseOfNight(cluster).asText()).isEqualTo("closed");
     assertThat(cluster.checks.broken).isEmpty();
   }
 
   /** Without a document nothing is written or held up. */
   @Test
-  void withoutADocumentNothingIsSaid() throws MalformedException {
-    SimCluster cluster = new SimCluster(43, Policy.PRESET, Size.FLEET);
+  void withoutADocumentNoNightIsRecorded() throws MalformedException {
+    SimCluster cluster = new SimCluster(43, Policy.DEFAULT, Size.FLEET);
     cluster.clock.after(5000, () -> cluster.user(RulesTest.simple("run-a", "blue", 20, 1), 0));
     cluster.clock.runUntil(60_000);
     assertThat(cluster.state.under("d/nights/")).isEmpty();
--- a/src/test/java/dunlincroft/sim/CancelAtEndTest.java
+++ b/src/test/java/dunlincroft/sim/CancelAtEndTest.java
@@ -47,7 +47,7 @@
 
   private SimCluster smallJobs(long seed) throws MalformedException {
     reported.clear();
-    SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
+    SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     Random random = new Random(seed);
     cluster.checks.troublesOver(TROUBLES_MS);
     cluster.closeLooks.cancelAtEnd(0.2, TROUBLES_MS);
--- a/src/test/java/dunlincroft/sim/CancelDuringHandoverTest.java
+++ b/src/test/java/dunlincroft/sim/CancelDuringHandoverTest.java
@@ -122,7 +122,7 @@
   void cancelledWhileASuccessorTakesOver(long seed, long awayMs, long offsetMs)
       throws MalformedException {
     SimCluster cluster =
-        watched(seed, seed % 2 == 0 ? Policy.parse("holder_machines = 12;") : Policy.PRESET);
+        watched(seed, seed % 2 == 0 ? Policy.parse("holder_machines = 12;") : Policy.DEFAULT);
     cluster.clock.runUntil(AT_MS);
     String shard = firstShard(cluster);
     cancelAtSteps(cluster);
--- a/src/test/java/dunlincroft/sim/GapTest.java
+++ b/src/test/java/dunlincroft/sim/GapTest.java
@@ -62,7 +62,7 @@
   private final List<JobSpec> services = new ArrayList<>();
 
   private SimCluster busy(long seed) throws MalformedException {
-    SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
+    SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.checks.troublesOver(AT_MS + DOWN_AFTER_MS + DOWN_MS + 10_000);
     Random random = new Random(seed);
     for (int i = 0; i < 120; i++) {
--- a/src/test/java/dunlincroft/sim/HeldReportsTest.java
+++ b/src/test/java/dunlincroft/sim/HeldReportsTest.java
@@ -18,7 +18,7 @@
   }
 
   private SimCluster held(long seed) throws MalformedException {
-    return busy(seed, seed % 2 == 0 ? Policy.parse("holder_machines = 12;") : Policy.PRESET);
+    return busy(seed, seed % 2 == 0 ? Policy.parse("holder_machines = 12;") : Policy.DEFAULT);
   }
 
   /** Copies of reports reach every controller within the second in which a new one begins. */
--- a/src/test/java/dunlincroft/sim/HeldUpCommandsTest.java
+++ b/src/test/java/dunlincroft/sim/HeldUpCommandsTest.java
@@ -21,7 +21,7 @@
   @ParameterizedTest
   @ValueSource(longs = {2, 3, 4})
   void cancelledAsTheirCommandsAreHeldUp(long seed) throws MalformedException {
-    SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
+    SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.checks.troublesOver(140_000);
     Random random = new Random(seed);
     for (int i = 0; i < JOBS; i++) {
--- a/src/test/java/dunlincroft/sim/LateCommandsTest.java
+++ b/src/test/java/dunlincroft/sim/LateCommandsTest.java
@@ -184,7 +184,7 @@
   @CsvSource({"1,true", "2,false", "3,true"})
   void aReapArrivesAfterTheSecondTry(long seed, boolean ends) throws MalformedException {
     Size size = new Size(5, 5, 80, 8, 8, 80).limits(90, 0);
-    SimCluster cluster = new SimCluster(seed, Policy.PRESET, size);
+    SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, size);
     cluster.checks.troublesOver(AT_MS + 60_000);
     JobSpec idle = inOneZone(RulesTest.simple("run-idle", "blue", 15, 2, 60, 1), "idle");
     cluster.clock.after(5000, () -> cluster.user(idle, 0));
--- a/src/test/java/dunlincroft/sim/LeftWaitingTest.java
+++ b/src/test/java/dunlincroft/sim/LeftWaitingTest.java
@@ -40,7 +40,7 @@
   }
 
   private static SimCluster cluster(long seed) throws MalformedException {
-    SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
+    SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.checks.troublesOver(AT_MS);
     return cluster;
   }
--- a/src/test/java/dunlincroft/sim/LimitMeetingsTest.java
+++ b/src/test/java/dunlincroft/sim/LimitMeetingsTest.java
@@ -47,7 +47,7 @@
   /** A cluster whose teams have more work than their limits let run. */
   private SimCluster atLimits(long seed, boolean both) throws MalformedException {
     SimCluster cluster =
-        new SimCluster(seed, Policy.PRESET, Size.FLEET.limits(RED, both ? BLUE : 0));
+        new SimCluster(seed, Policy.DEFAULT, Size.FLEET.limits(RED, both ? BLUE : 0));
     cluster.checks.troublesOver(AT_MS + 100_000);
     for (int i = 0; i < 28; i++) {
       String team = i % 2 == 0 ? "red" : "blue";
--- a/src/test/java/dunlincroft/sim/LostAnswersTest.java
+++ b/src/test/java/dunlincroft/sim/LostAnswersTest.java
@@ -79,7 +79,7 @@
     boolean pages = kind == Kind.PAGE || kind == Kind.SWEEP;
     SimCluster cluster =
         pages
-            ? new SimCluster(seed, Policy.PRESET, Size.TIGHT)
+            ? new SimCluster(seed, Policy.DEFAULT, Size.TIGHT)
             : busy(seed, Policy.parse("holder_machines = 12;"));
     if (pages) {
       cluster.checks.troublesOver(AT_MS + 90_000);
--- a/src/test/java/dunlincroft/sim/MeetingScenario.java
+++ b/src/test/java/dunlincroft/sim/MeetingScenario.java
@@ -40,7 +40,7 @@
   }
 
   SimCluster busy(long seed) throws MalformedException {
-    return busy(seed, Policy.PRESET);
+    return busy(seed, Policy.DEFAULT);
   }
 
   /** Users cancel every so many-th job from now on, one after the other. */
--- a/src/test/java/dunlincroft/sim/MigrationTest.java
+++ b/src/test/java/dunlincroft/sim/MigrationTest.java
@@ -41,26 +41,26 @@
   /** What fails, ten times, in the middle of the steps. */
   private enum Fault {
     NONE(cluster -> {}),
-    HOLDER_ENDS(cluster -> cluster.crashHolder(200)),
-    HOLDER_ENDS_FOR_LONG(cluster -> cluster.crashHolder(30_000)),
-    ALL_END(cluster -> cluster.crashAll(200)),
-    HOLDER_STANDS_STILL(cluster -> cluster.freezeHolder(5000)),
-    ALONE_WITH_ITS_WORKERS(cluster -> cluster.cutHolderFromControllers(8000)),
+    OWNER_CRASHES(cluster -> cluster.crashHolder(200)),
+    OWNER_DOWN_LONG(cluster -> cluster.crashHolder(30_000)),
+    ALL_CRASH(cluster -> cluster.crashAll(200)),
+    OWNER_PAUSES(cluster -> cluster.freezeHolder(5000)),
+    OWNER_PARTITIONED_WITH_WORKERS(cluster -> cluster.cutHolderFromControllers(8000)),
     LINKS_REFUSED(cluster -> cluster.refuseLinks(6000)),
-    STATE_SLOW(cluster -> cluster.slowState(30, 5000)),
-    STATE_AWAY(cluster -> cluster.state.outage(4000)),
-    WORKERS_BEGIN_ANEW(
+    STATE_SERVICE_SLOW(cluster -> cluster.slowState(30, 5000)),
+    STATE_SERVICE_DOWN(cluster -> cluster.state.outage(4000)),
+    WORKERS_RESTART(
         cluster -> cluster.cloud.machines.values().stream().limit(5).forEach(w -> w.restart(150))),
-    DEAF_AND_COPIES(
+    LOST_ANSWERS_AND_DUPLICATES(
         cluster -> {
           cluster.copies = 0.3;
           cluster.cloud.machines.values().stream().skip(3).limit(2).forEach(w -> w.deafen(15_000));
         });
 
-    private final Consumer<SimCluster> act;
+    private final Consumer<SimCluster> injection;
 
-    Fault(Consumer<SimCluster> act) {
-      this.act = act;
+    Fault(Consumer<SimCluster> injection) {
+      this.injection = injection;
     }
   }
 
@@ -91,32 +91,33 @@
   }
 
   /** Services run, wherever there is room, and a migration begins. */
-  private static SimCluster begun(long seed, String whenIll) throws MalformedException {
-    SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
+  private static SimCluster startMigration(long seed, String whenIll) throws MalformedException {
+    SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.put("migration", DOCUMENT.formatted(whenIll));
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = service("run-m" + i);
       cluster.clock.after(5000 + 500L * i, () -> cluster.user(spec, 0));
     }
     cluster.clock.runUntil(START_MS);
-    assertThat(running(cluster)).isEqualTo(4 * JOBS);
-    ask(cluster, MigrationLedger.Ask.START);
-    cluster.checks.sides("run-m", (phase, zone) -> allowed(phase, zone.equals("a")));
+    assertThat(runningReplicas(cluster)).isEqualTo(4 * JOBS);
+    request(cluster, MigrationLedger.Request.START);
+    cluster.checks.sides("run-m", (phase, zone) -> isStartAllowed(phase, zone.equals("a")));
     return cluster;
   }
 
   /** Whether a phase lets tasks begin on a side; by the phases of docs/migration.md. */
-  private static boolean allowed(String phase, boolean old) {
+  private static boolean isStartAllowed(String phase, boolean onOldSide) {
     return switch (phase) {
-      case "old", "back" -> old;
-      case "cutover", "settled" -> !old;
+      case "old", "back" -> onOldSide;
+      case "cutover", "settled" -> !onOldSide;
       default -> true;
     };
   }
 
-  private static void ask(SimCluster cluster, MigrationLedger.Ask ask) {
+  private static void request(SimCluster cluster, MigrationLedger.Request request) {
     cluster.create(
-        MigrationLedger.askKey("core"), Cbor.map().put("ask", ask.name()).put("by", "test"));
+        MigrationLedger.requestKey("core"),
+        Cbor.map().put("ask", request.name()).put("by", "test"));
   }
 
   private static String phase(SimCluster cluster) {
@@ -124,29 +125,31 @@
     return record == null ? "none" : record.path("phase").asText();
   }
 
-  private static int running(SimCluster cluster) {
-    int n = 0;
+  private static int runningReplicas(SimCluster cluster) {
+    int count = 0;
     for (int i = 0; i < JOBS; i++) {
-      n += cluster.checks.running("run-m" + i);
+      count += cluster.checks.running("run-m" + i);
     }
-    return n;
+    return count;
   }
 
-  private static void inZones(SimCluster cluster, boolean old) {
+  private static void assertAllReplicasOn(SimCluster cluster, boolean onOldSide) {
     for (int i = 0; i < JOBS; i++) {
-      assertThat(cluster.checks.zones("run-m" + i)).hasSize(4).allMatch(z -> z.equals("a") == old);
+      assertThat(cluster.checks.zones("run-m" + i))
+          .hasSize(4)
+          .allMatch(z -> z.equals("a") == onOldSide);
     }
   }
 
   @ParameterizedTest
   @EnumSource(Fault.class)
-  void everyReplicaMovesAndNoneBeginsOnTheWrongSide(Fault fault) throws MalformedException {
-    SimCluster cluster = begun(51, "pause");
+  void allReplicasMoveAndNoneStartsOnTheWrongSide(Fault fault) throws MalformedException {
+    SimCluster cluster = startMigration(51, "pause");
     for (int i = 0; i < 10; i++) {
-      cluster.clock.after(1500 + 9000L * i, () -> fault.act.accept(cluster));
+      cluster.clock.after(1500 + 9000L * i, () -> fault.injection.accept(cluster));
     }
     long until = cluster.clock.now() + 600_000;
-    int least = 4 * JOBS;
+    int fewestRunning = 4 * JOBS;
     while (!phase(cluster).equals("settled") && cluster.clock.now() < until) {
       cluster.clock.runUntil(cluster.clock.now() + 250);
       // So many machines may fail that a phase is ill; its operators let it go on.
@@ -154,16 +157,17 @@
       if (record != null
           && record.path("paused").asBoolean()
           && cluster.state.under("d/migrationasks/").isEmpty()) {
-        ask(cluster, MigrationLedger.Ask.RESUME);
+        request(cluster, MigrationLedger.Request.RESUME);
       }
-      least = fault == Fault.NONE ? Math.min(least, running(cluster)) : least;
+      fewestRunning =
+          fault == Fault.NONE ? Math.min(fewestRunning, runningReplicas(cluster)) : fewestRunning;
     }
     assertThat(phase(cluster)).isEqualTo("settled");
     // One replica of a service at a time, and few of all: at once it would be all of them.
-    assertThat(least).isGreaterThanOrEqualTo(4 * JOBS * 3 / 4);
+    assertThat(fewestRunning).isGreaterThanOrEqualTo(4 * JOBS * 3 / 4);
     cluster.copies = 0;
     cluster.clock.runUntil(cluster.clock.now() + 60_000);
-    inZones(cluster, false);
+    assertAllReplicasOn(cluster, false);
     assertThat(cluster.checks.broken).isEmpty();
     Map<String, JsonNode> history = cluster.state.under("d/migrationlog/core/");
     long epoch = cluster.state.under("d/migrations/").get("core").path("epoch").asLong();
@@ -176,20 +180,20 @@
   @EnumSource(
       value = Fault.class,
       names = {"NONE", "HOLDER_ENDS", "ALL_END", "ALONE_WITH_ITS_WORKERS"})
-  void fromEveryStepItGoesBack(Fault fault) throws MalformedException {
+  void rollsBackFromEveryStep(Fault fault) throws MalformedException {
     for (String step : new String[] {"canary", "both", "cutover"}) {
-      SimCluster cluster = begun(52, "pause");
+      SimCluster cluster = startMigration(52, "pause");
       while (!phase(cluster).equals(step) && cluster.clock.now() < 600_000) {
         cluster.clock.runUntil(cluster.clock.now() + 100);
       }
       assertThat(phase(cluster)).isEqualTo(step);
       cluster.clock.runUntil(cluster.clock.now() + 1300);
-      ask(cluster, MigrationLedger.Ask.BACK);
-      cluster.clock.after(300, () -> fault.act.accept(cluster));
-      cluster.clock.after(5000, () -> fault.act.accept(cluster));
+      request(cluster, MigrationLedger.Request.BACK);
+      cluster.clock.after(300, () -> fault.injection.accept(cluster));
+      cluster.clock.after(5000, () -> fault.injection.accept(cluster));
       cluster.clock.runUntil(cluster.clock.now() + 300_000);
       assertThat(phase(cluster)).isEqualTo("old");
-      inZones(cluster, true);
+      assertAllReplicasOn(cluster, true);
       assertThat(cluster.checks.broken).isEmpty();
     }
   }
@@ -201,8 +205,8 @@
   @EnumSource(
       value = Fault.class,
       names = {"NONE", "HOLDER_ENDS"})
-  void aSideThatIsIllEndsTheMigration(Fault fault) throws MalformedException {
-    SimCluster cluster = new SimCluster(53, Policy.PRESET, Size.FLEET);
+  void unavailableNewSideCausesRollback(Fault fault) throws MalformedException {
+    SimCluster cluster = new SimCluster(53, Policy.DEFAULT, Size.FLEET);
     cluster.cloud.refused.addAll(List.of("b", "c"));
     cluster.cloud.machines.values().stream()
         .filter(worker -> !worker.hall.equals("a"))
@@ -214,8 +218,8 @@
       cluster.clock.after(5000 + 500L * i, () -> cluster.user(spec, 0));
     }
     cluster.clock.runUntil(START_MS);
-    ask(cluster, MigrationLedger.Ask.START);
-    cluster.clock.after(9000, () -> fault.act.accept(cluster));
+    request(cluster, MigrationLedger.Request.START);
+    cluster.clock.after(9000, () -> fault.injection.accept(cluster));
     cluster.clock.runUntil(START_MS + 500_000);
     assertThat(phase(cluster)).isIn("old", "back");
     assertThat(cluster.state.under("d/migrationlog/core/").values())
@@ -225,17 +229,17 @@
 
   /** Two operators at once: one request at a time, and each step is in the history. */
   @Test
-  void pausedItRestsAndResumedItGoesOn() throws MalformedException {
-    SimCluster cluster = begun(54, "pause");
+  void pauseStopsStepsAndResumeContinuesThem() throws MalformedException {
+    SimCluster cluster = startMigration(54, "pause");
     cluster.clock.runUntil(START_MS + 4000);
-    ask(cluster, MigrationLedger.Ask.PAUSE);
+    request(cluster, MigrationLedger.Request.PAUSE);
     cluster.clock.runUntil(START_MS + 60_000);
     assertThat(phase(cluster)).isEqualTo("canary");
-    ask(cluster, MigrationLedger.Ask.RESUME);
+    request(cluster, MigrationLedger.Request.RESUME);
     cluster.put("migration", DOCUMENT.formatted("back").replace("\"b\", \"c\"", "\"c\""));
     cluster.clock.runUntil(START_MS + 500_000);
     assertThat(phase(cluster)).as("by the document that it began with").isEqualTo("settled");
-    inZones(cluster, false);
+    assertAllReplicasOn(cluster, false);
     assertThat(cluster.checks.broken).isEmpty();
   }
 }
--- a/src/test/java/dunlincroft/sim/OldEndsTest.java
+++ b/src/test/java/dunlincroft/sim/OldEndsTest.java
@@ -37,7 +37,7 @@
   /** Questions, submissions and cancellations at every node give the final state. */
   @Test
   void oldEndsAreToldByEveryNode() throws MalformedException {
-    SimCluster cluster = new SimCluster(1, Policy.PRESET, Size.SMALL);
+    SimCluster cluster = new SimCluster(1, Policy.DEFAULT, Size.SMALL);
     List<JobSpec> old = new ArrayList<>();
     for (int i = 0; i < Constants.MAX_ENDED_JOBS_IN_MEMORY + FORGOTTEN; i++) {
       JobSpec spec = ended(cluster, i);
--- a/src/test/java/dunlincroft/sim/OwnDaysTest.java
+++ b/src/test/java/dunlincroft/sim/OwnDaysTest.java
@@ -163,7 +163,7 @@
   @ParameterizedTest
   @EnumSource(Day.class)
   void noClassAndNoTeamIsStarved(Day day) throws MalformedException {
-    cluster = new SimCluster(31, Policy.PRESET, Size.FLEET);
+    cluster = new SimCluster(31, Policy.DEFAULT, Size.FLEET);
     for (int i = 0; i < 40; i++) {
       submit(3000 + 2000L * i, i % 3 == 0 ? "serve" : "copy", i % 2 == 0 ? "red" : "blue", 3);
     }
--- a/src/test/java/dunlincroft/sim/PairsTest.java
+++ b/src/test/java/dunlincroft/sim/PairsTest.java
@@ -110,7 +110,7 @@
   }
 
   private static SimCluster play(long seed, List<Planned> plan) throws MalformedException {
-    Policy policy = seed % 4 == 0 ? Policy.parse("holder_machines = 12;") : Policy.PRESET;
+    Policy policy = seed % 4 == 0 ? Policy.parse("holder_machines = 12;") : Policy.DEFAULT;
     SimCluster cluster = new SimCluster(seed, policy, seed % 3 == 0 ? Size.SMALL : Size.FLEET);
     Random random = new Random(seed);
     cluster.checks.troublesOver(OVER_MS);
--- a/src/test/java/dunlincroft/sim/RoomTest.java
+++ b/src/test/java/dunlincroft/sim/RoomTest.java
@@ -62,7 +62,7 @@
    */
   @Test
   void servicesOfALostZoneAllMakeRoomAtOnce() throws MalformedException {
-    SimCluster cluster = new SimCluster(31, Policy.PRESET, Size.FLEET);
+    SimCluster cluster = new SimCluster(31, Policy.DEFAULT, Size.FLEET);
     for (int i = 0; i < 45; i++) {
       cluster.cloud.rent(SimCluster.ZONES.get(i % 3), false).start();
     }
--- a/src/test/java/dunlincroft/sim/RulesTest.java
+++ b/src/test/java/dunlincroft/sim/RulesTest.java
@@ -138,7 +138,7 @@
   @ParameterizedTest
   @MethodSource("seeds")
   void rulesHoldThroughOverlappingFaults(long seed) throws MalformedException {
-    SimCluster cluster = play(seed, true, true, Policy.PRESET);
+    SimCluster cluster = play(seed, true, true, Policy.DEFAULT);
     everyRuleHolds(cluster);
   }
 
@@ -177,7 +177,7 @@
   @ParameterizedTest
   @MethodSource("fewSeeds")
   void rulesHoldWithFiveControllersAndSmallValues(long seed) throws MalformedException {
-    Policy policy = seed % 2 == 0 ? Policy.PRESET : Policy.parse("holder_machines = 8;");
+    Policy policy = seed % 2 == 0 ? Policy.DEFAULT : Policy.parse("holder_machines = 8;");
     SimCluster cluster = play(seed, true, true, policy, Size.TIGHT);
     everyRuleHolds(cluster);
     pagesWritten += cluster.state.pagesWritten;
@@ -185,7 +185,7 @@
 
   @Test
   void quietDayEndsEveryJob() throws MalformedException {
-    SimCluster cluster = play(100, false, true, Policy.PRESET);
+    SimCluster cluster = play(100, false, true, Policy.DEFAULT);
     assertThat(cluster.checks.broken).isEmpty();
     assertThat(cluster.checks.toldFinal).hasSize(Size.SMALL.jobs());
   }
@@ -202,7 +202,7 @@
   }
 
   private static SimCluster busy() throws MalformedException {
-    SimCluster cluster = new SimCluster(7, Policy.PRESET, Size.SMALL);
+    SimCluster cluster = new SimCluster(7, Policy.DEFAULT, Size.SMALL);
     Random random = new Random(7);
     for (int i = 0; i < 200; i++) {
       JobSpec spec = job(random, i);
@@ -269,7 +269,7 @@
    */
   @Test
   void roomForAGuaranteeIsMadeInOnePlace() throws MalformedException {
-    SimCluster cluster = new SimCluster(5, Policy.PRESET, Size.SMALL);
+    SimCluster cluster = new SimCluster(5, Policy.DEFAULT, Size.SMALL);
     cluster.cloud.most = 5;
     JobSpec guests = simple("run-guests", "blue", 200, 1, 300, 20);
     JobSpec guaranteed = simple("run-red", "red", 5, 4, 15, 0);
@@ -287,7 +287,7 @@
   /** Arrays that fail everywhere: known for it soon, whoever holds them, and no machine's fault. */
   @Test
   void jobsThatFailEverywhereAreToldFromSickMachines() throws MalformedException {
-    SimCluster cluster = new SimCluster(3, Policy.PRESET, Size.SMALL);
+    SimCluster cluster = new SimCluster(3, Policy.DEFAULT, Size.SMALL);
     for (int i = 0; i < 12; i++) {
       JobSpec spec = simple("run-" + i, i < 4 ? "red" : "blue", 30, 1);
       boolean broken = i % 3 == 0;
@@ -308,7 +308,7 @@
   void checksFindWhatBrokenGuardsLetThrough() throws MalformedException {
     List<String> broken = List.of();
     for (long seed = 1; broken.isEmpty() && seed <= 60; seed++) {
-      broken = play(seed, true, false, Policy.PRESET).checks.broken;
+      broken = play(seed, true, false, Policy.DEFAULT).checks.broken;
     }
     assertThat(broken).isNotEmpty();
   }
--- a/src/test/java/dunlincroft/sim/ScarceRequestsTest.java
+++ b/src/test/java/dunlincroft/sim/ScarceRequestsTest.java
@@ -22,7 +22,7 @@
 
   private SimCluster jobsCome(long seed) throws MalformedException {
     Size size = new Size(5, 60, JOBS, 8, 8, WRITE_RPS, 2, RPS);
-    SimCluster cluster = new SimCluster(seed, Policy.PRESET, size);
+    SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, size);
     Random random = new Random(seed);
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = PairsTest.job(random, i);
--- a/src/test/java/dunlincroft/sim/ScarcityTest.java
+++ b/src/test/java/dunlincroft/sim/ScarcityTest.java
@@ -68,7 +68,7 @@
   @ParameterizedTest
   @CsvSource({"1,0", "2,4000", "4,15000"})
   void moreWorkThanRoomOverSlowLinks(long seed, long offMs) throws MalformedException {
-    SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
+    SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.cloud.most = 12;
     cluster.checks.troublesOver(180_000);
     for (int node = 0; node < cluster.nodeCount(); node++) {
@@ -153,7 +153,7 @@
     "8,ZONE_CUT,7000"
   })
   void jobsOfOneZoneLoseTheirMachines(long seed, Loss loss, long offMs) throws MalformedException {
-    SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
+    SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.checks.troublesOver(AT_MS + 90_000);
     Random random = new Random(seed);
     List<JobSpec> bound = new ArrayList<>();
--- a/src/test/java/dunlincroft/sim/SmallJobsTest.java
+++ b/src/test/java/dunlincroft/sim/SmallJobsTest.java
@@ -128,7 +128,7 @@
   }
 
   private SimCluster cluster(long seed) throws MalformedException {
-    SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
+    SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.checks.troublesOver(FROM_MS + JOBS * EACH_MS + 30_000);
     Random random = new Random(seed);
     for (int i = 0; i < JOBS; i++) {
--- a/src/test/java/dunlincroft/sim/SupplyTest.java
+++ b/src/test/java/dunlincroft/sim/SupplyTest.java
@@ -18,7 +18,7 @@
 
   @BeforeEach
   void fiveMachines() throws MalformedException {
-    cluster = new SimCluster(11, Policy.PRESET, Size.SMALL);
+    cluster = new SimCluster(11, Policy.DEFAULT, Size.SMALL);
     cloud = cluster.cloud;
   }
 
--- a/src/test/java/dunlincroft/sim/TakeoverTest.java
+++ b/src/test/java/dunlincroft/sim/TakeoverTest.java
@@ -139,7 +139,7 @@
   }
 
   private static SimCluster busy(long seed) throws MalformedException {
-    return busy(seed, Policy.PRESET);
+    return busy(seed, Policy.DEFAULT);
   }
 
   private static SimCluster busy(long seed, Policy policy) throws MalformedException {
--- a/src/test/java/dunlincroft/sim/TypesTest.java
+++ b/src/test/java/dunlincroft/sim/TypesTest.java
@@ -26,7 +26,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void typesThatCouldNotBeRecordedAreRecordedSoon(long seed) throws MalformedException {
-    SimCluster cluster = new SimCluster(seed, Policy.PRESET, Size.FLEET);
+    SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.checks.troublesOver(70_000);
     for (int node = 0; node < cluster.nodeCount(); node++) {
       cluster.refuseCloud(node, CLOUD_BACK_MS);
--- a/src/test/java/dunlincroft/sim/WaitingCheck.java
+++ b/src/test/java/dunlincroft/sim/WaitingCheck.java
@@ -191,16 +191,16 @@
     return !apart
         && perZone.getOrDefault(zone, 0) < spec.maxTasksPerZone()
         && spec.allows(SimCluster.TYPE, zone, cheap)
-        && (!cheap || cluster.policy.spot(spec))
+        && (!cheap || cluster.policy.isSpotEnabled(spec))
         && spec.resources().fitsInto(machine.free.minus(kept(spec, machine)));
   }
 
   /** What the operators keep free of a machine. */
   private Resources kept(JobSpec spec, Machine machine) {
     String zone = machine.worker.hall;
-    double part = 1 - cluster.policy.bound(type, zone, machine.worker.cheap);
+    double part = 1 - cluster.policy.loadBound(type, zone, machine.worker.cheap);
     if (spec.rank() != Rank.PROD && machine.services) {
-      part += cluster.policy.reserve(type, zone, machine.worker.cheap);
+      part += cluster.policy.serviceReserve(type, zone, machine.worker.cheap);
     }
     return new Resources((long) (type.resources().cpu() * part), 0, 0);
   }
