--- a/src/main/java/dunlincroft/calendar/CalendarDocument.java
+++ b/src/main/java/dunlincroft/calendar/CalendarDocument.java
@@ -28,28 +28,47 @@
 import java.util.function.Function;
 
 /**
- * A settlement calendar as operators write it: markets with their trading days, holidays and half
- * days, and windows that open and are cut off by local time relative to a business date. Checked as
- * a whole; a pure function tells its nights.
+ * A settlement calendar as written by operators (TOML): markets with their trading days, holidays
+ * and half days, and windows that open and are cut off at local times on a business date or the day
+ * after it. The document is validated as a whole. The nights of a range of dates are a pure
+ * function of it.
  */
 public final class CalendarDocument {
-  /** What happens to a date that is no trading day of the market. */
+  /** Which trading day replaces a date that is not a trading day of the market. */
   enum Roll {
     FOLLOWING,
     PRECEDING,
-    /** The following one, unless it is in another month: then the preceding one. */
+    /** The following trading day, or the preceding one if the following is in another month. */
     MODIFIED_FOLLOWING,
+    /** The date is omitted. */
     SKIP
   }
 
-  /** Trading days of the week, single days without trade, and days that end early. */
+  /**
+   * The trading days of a market.
+   *
+   * @param tradingDays trading days of the week
+   * @param holidays dates on which the market is closed
+   * @param halfDays trading days on which the market closes early
+   */
   record Market(Set<DayOfWeek> tradingDays, Set<LocalDate> holidays, Set<LocalDate> halfDays) {
     boolean isTradingDay(LocalDate date) {
       return tradingDays.contains(date.getDayOfWeek()) && !holidays.contains(date);
     }
   }
 
-  /** A window; {@code weekdays} or {@code dayOfMonth} say on which dates, before rolling. */
+  /**
+   * A recurring window of time to which the jobs that it selects are confined.
+   *
+   * @param market name of the market whose trading days apply
+   * @param weekdays days of the week on which the window occurs; empty for all
+   * @param dayOfMonth day of the month on which the window occurs instead, before rolling
+   * @param opens local time of opening
+   * @param opensOnHalfDays local time of opening on half days
+   * @param cutOff local time of the cut-off; on the next day if not after the opening
+   * @param roll what happens on dates that are not trading days
+   * @param cutOffAction what happens to tasks that still run at the cut-off
+   */
   record Window(
       String name,
       String market,
@@ -62,13 +81,13 @@
       Roll roll,
       CutOffAction cutOffAction) {}
 
-  /** The last day of a month, as a day of the month. */
+  /** Value of dayOfMonth that denotes the last day of the month. */
   private static final int LAST_DAY_OF_MONTH = -1;
 
-  /** No day of the month is named. */
+  /** Value of dayOfMonth if the document gives none. */
   private static final int NO_DAY_OF_MONTH = 0;
 
-  /** Days that a date may be rolled by: longer closures are faults of the document. */
+  /** Maximum number of days by which a date is rolled; longer closures are document errors. */
   private static final int MAX_ROLL_DAYS = 14;
 
   private final ZoneId zone;
@@ -81,9 +100,9 @@
     this.windows = windows;
   }
 
-  // ---- reading ----
+  // ---- parsing ----
 
-  /** Reads a document; the message of a fault has a line for each of them, with its path. */
+  /** Parses a document. The exception's message has one line for each error, with its path. */
   public static CalendarDocument parse(String toml) throws MalformedException {
     JsonNode root;
     try {
@@ -100,7 +119,7 @@
     return new Reader().read(root);
   }
 
-  /** Collects every fault of a document instead of stopping at the first. */
+  /** Parser that collects all errors of a document instead of stopping at the first one. */
   private static final class Reader {
     private final List<String> errors = new ArrayList<>();
 
@@ -116,7 +135,7 @@
       List<Window> windows = new ArrayList<>();
       JsonNode list = root.path("windows");
       if (!list.isArray() || list.isEmpty()) {
-        errors.add("windows: there must be one at the least");
+        errors.add("windows: at least one is required");
       }
       for (int i = 0; i < list.size(); i++) {
         windows.add(window(list.get(i), "windows[" + i + "].", markets));
@@ -128,17 +147,21 @@
       return new CalendarDocument(zone, markets, windows);
     }
 
-    /** No job may be in two windows: which of their cut-offs holds would be a matter of luck. */
+    /**
+     * Checks that names of windows are unique and that no job can belong to two windows: it would
+     * be undefined which cut-off applies.
+     */
     private void checkDistinct(List<Window> windows) {
       for (int i = 0; i < windows.size(); i++) {
         for (int k = 0; k < i; k++) {
           if (windows.get(i).name.equals(windows.get(k).name)) {
-            errors.add("windows[" + i + "].name: " + windows.get(i).name + " is there twice");
+            errors.add(
+                "windows[" + i + "].name: " + windows.get(i).name + " is used more than once");
           } else if (windows.get(i).selector.overlaps(windows.get(k).selector)) {
             errors.add(
                 "windows["
                     + i
-                    + "].select: a job may be in this window and in "
+                    + "].select: a job could match both this window and "
                     + windows.get(k).name);
           }
         }
@@ -156,7 +179,7 @@
       Set<LocalDate> halfDays = new TreeSet<>(values(map, path, "half_days", LocalDate::parse));
       for (LocalDate halfDay : halfDays) {
         if (holidays.contains(halfDay) || !days.contains(halfDay.getDayOfWeek())) {
-          errors.add(path + "half_days: " + halfDay + " is no trading day");
+          errors.add(path + "half_days: " + halfDay + " is not a trading day");
         }
       }
       return new Market(days, holidays, halfDays);
@@ -180,7 +203,7 @@
       String name = emptyIfNull(value(map, path, "name", Reader::windowName, null));
       String market = emptyIfNull(value(map, path, "market", text -> text, null));
       if (!markets.containsKey(market)) {
-        errors.add(path + "market: there is no market " + market);
+        errors.add(path + "market: unknown market " + market);
       }
       JsonNode select = map.path("select");
       rejectUnknownFields(select, path + "select.", Set.of("class", "team", "image"));
@@ -195,7 +218,7 @@
               nullIfEmpty(selector.team()),
               nullIfEmpty(selector.image()));
       if (selector.equals(new JobSelector(null, null, null))) {
-        errors.add(path + "select: must name a class, a team or an image");
+        errors.add(path + "select: requires a class, a team or an image");
       }
       Set<DayOfWeek> weekdays = EnumSet.noneOf(DayOfWeek.class);
       weekdays.addAll(values(map, path, "weekdays", Reader::weekday));
@@ -203,12 +226,14 @@
       if (dayOfMonth < LAST_DAY_OF_MONTH
           || dayOfMonth > 31
           || (dayOfMonth != NO_DAY_OF_MONTH && !weekdays.isEmpty())) {
-        errors.add(path + "day_of_month: from 1 to 31, or -1 for the last, and without weekdays");
+        errors.add(
+            path
+                + "day_of_month: must be from 1 to 31, or -1 for the last day, and excludes weekdays");
       }
       LocalTime opens = value(map, path, "opens", LocalTime::parse, null);
       LocalTime cutOff = value(map, path, "cut_off", LocalTime::parse, null);
       if (opens != null && opens.equals(cutOff)) {
-        errors.add(path + "cut_off: the window is as long as it is short: opens and cut_off agree");
+        errors.add(path + "cut_off: must differ from opens");
       }
       LocalTime opensOnHalfDays =
           map.has("opens_on_half_days")
@@ -250,18 +275,19 @@
 
     private static String windowName(String text) {
       if (!text.matches("[a-z0-9][a-z0-9-]{0,39}")) {
-        throw new IllegalArgumentException("small letters, digits and dashes, 40 at the most");
+        throw new IllegalArgumentException("must be 1 to 40 lower-case letters, digits and dashes");
       }
       return text;
     }
 
+    /** Day of the week by its English name or the first three or more letters of it. */
     private static DayOfWeek weekday(String text) {
       for (DayOfWeek day : DayOfWeek.values()) {
         if (day.name().startsWith(upper(text)) && text.length() >= 3) {
           return day;
         }
       }
-      throw new IllegalArgumentException(text + " is no day of the week");
+      throw new IllegalArgumentException(text + " is not a day of the week");
     }
 
     private void rejectUnknownFields(JsonNode map, String path, Set<String> known) {
@@ -269,31 +295,32 @@
           .forEachRemaining(
               name -> {
                 if (!known.contains(name)) {
-                  errors.add(path + name + ": there is no such field");
+                  errors.add(path + name + ": unknown field");
                 }
               });
     }
 
-    /** A field that must be there when {@code preset} is null. */
+    /** Value of a field; the field is required if {@code defaultValue} is null. */
     private <T> T value(
         JsonNode map, String path, String field, Function<String, T> parser, T defaultValue) {
       JsonNode node = map.path(field);
       if (node.isMissingNode()) {
         if (defaultValue == null) {
-          errors.add(path + field + ": is missing");
+          errors.add(path + field + ": is required");
         }
         return defaultValue;
       }
       return parseValue(node, path + field, parser, defaultValue);
     }
 
+    /** Parses a node; records an error and returns the default value if it is invalid. */
     private <T> T parseValue(
         JsonNode node, String path, Function<String, T> parser, T defaultValue) {
       try {
         if (node.isValueNode()) {
           return parser.apply(node.asText());
         }
-        errors.add(path + ": must be one value");
+        errors.add(path + ": must be a single value");
       } catch (DateTimeException | IllegalArgumentException e) {
         errors.add(path + ": " + node.asText() + ": " + e.getMessage());
       }
@@ -316,7 +343,7 @@
 
   // ---- nights ----
 
-  /** The window that a job is in, or null. */
+  /** The window that a job belongs to, or null. */
   Window windowOf(JobSpec spec) {
     for (Window window : windows) {
       if (window.selector.matches(spec)) {
@@ -326,19 +353,23 @@
     return null;
   }
 
-  /** All nights of business dates from one to another, both included, in the order of opening. */
+  /**
+   * All nights in a range of business dates, both ends included, in the order of opening.
+   *
+   * @param version document version to be recorded in the nights
+   */
   List<Night> nights(LocalDate from, LocalDate to, long version) {
     List<Night> nights = new ArrayList<>();
     for (Window window : windows) {
       Set<LocalDate> dates = new TreeSet<>();
-      // Rolled dates may come from outside.
+      // Dates outside the range may be rolled into it.
       for (LocalDate date = from.minusDays(MAX_ROLL_DAYS);
           !date.isAfter(to.plusDays(MAX_ROLL_DAYS));
           date = date.plusDays(1)) {
         if (isNominalDate(window, date)) {
           LocalDate businessDate = businessDate(window, date);
           if (businessDate != null && !businessDate.isBefore(from) && !businessDate.isAfter(to)) {
-            dates.add(businessDate); // Two that are rolled onto one day are one night.
+            dates.add(businessDate); // Dates that are rolled to the same day form one night.
           }
         }
       }
@@ -348,6 +379,7 @@
     return nights;
   }
 
+  /** Whether a window occurs on a date before rolling. */
   private static boolean isNominalDate(Window window, LocalDate date) {
     if (window.dayOfMonth == NO_DAY_OF_MONTH) {
       return window.weekdays.isEmpty() || window.weekdays.contains(date.getDayOfWeek());
@@ -357,13 +389,13 @@
     return date.getDayOfMonth() == day;
   }
 
-  /** The trading day that a date stands for, or null. */
+  /** The trading day to which a date is rolled, or null if it is omitted. */
   private LocalDate businessDate(Window window, LocalDate date) {
     Market market = markets.get(window.market);
     if (market.isTradingDay(date)) {
       return date;
     }
-    // A window of every day has its nights on trading days; only named dates are rolled.
+    // A daily window occurs on trading days only; just weekdays and days of the month are rolled.
     if (window.roll == Roll.SKIP
         || (window.dayOfMonth == NO_DAY_OF_MONTH && window.weekdays.isEmpty())) {
       return null;
@@ -377,6 +409,7 @@
     return following;
   }
 
+  /** The nearest trading day after (step 1) or before (step -1) a date; null if too far away. */
   private static LocalDate nearestTradingDay(Market market, LocalDate from, int step) {
     for (int days = 1; days <= MAX_ROLL_DAYS; days++) {
       LocalDate date = from.plusDays((long) step * days);
@@ -403,8 +436,10 @@
   }
 
   /**
-   * A local time as a moment. When clocks change it may not exist or come twice: then an opening is
-   * the later reading and a cut-off the earlier one, so that no night is longer than it says.
+   * Converts a local time to milliseconds since the epoch. At a clock change the local time may not
+   * exist, and then the moment of the change is used; or it may occur twice, and then an opening is
+   * the later occurrence and a cut-off the earlier one, so that the ambiguity never lengthens a
+   * night.
    */
   private long toEpochMillis(LocalDateTime local, boolean opening) {
     ZoneOffsetTransition transition = zone.getRules().getTransition(local);
@@ -419,12 +454,12 @@
         .toEpochMilli();
   }
 
-  /** The date on which a moment falls here. */
+  /** The local date at a wall clock time. */
   LocalDate dateOf(long wallMs) {
     return Instant.ofEpochMilli(wallMs).atZone(zone).toLocalDate();
   }
 
-  /** One line for each night, for operators. */
+  /** One line of text for each night in a range of business dates, for operators. */
   public List<String> describeNights(LocalDate from, LocalDate to) {
     return nights(from, to, 0).stream()
         .map(
--- a/src/main/java/dunlincroft/calendar/JobSelector.java
+++ b/src/main/java/dunlincroft/calendar/JobSelector.java
@@ -7,8 +7,15 @@
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.MalformedException;
 
-/** Which jobs a window is for; what is null does not matter. */
+/**
+ * Selects batch jobs by class, team and image.
+ *
+ * @param jobclass required job class, or null for any
+ * @param team required team, or null for any
+ * @param image required image, or null for any
+ */
 record JobSelector(String jobclass, String team, String image) {
+  /** Whether a job is selected; services never are. */
   boolean matches(JobSpec spec) {
     return !spec.isService()
         && (jobclass == null || jobclass.equals(spec.jobclass()))
@@ -16,7 +23,7 @@
         && (image == null || image.equals(spec.image()));
   }
 
-  /** Whether some job could match both. */
+  /** Whether a job could match both selectors. */
   boolean overlaps(JobSelector other) {
     return compatible(jobclass, other.jobclass)
         && compatible(team, other.team)
@@ -27,10 +34,12 @@
     return a == null || b == null || a.equals(b);
   }
 
+  /** The selector as it is stored. */
   ObjectNode toNode() {
     return Cbor.map().put("class", jobclass).put("team", team).put("image", image);
   }
 
+  /** Reads a stored selector. */
   static JobSelector parse(JsonNode map) throws MalformedException {
     return new JobSelector(
         Fields.textOrNull(map, "class"),
--- a/src/main/java/dunlincroft/calendar/Night.java
+++ b/src/main/java/dunlincroft/calendar/Night.java
@@ -11,11 +11,18 @@
 import java.util.Locale;
 
 /**
- * One window on one business date, as all controllers share it. It keeps all that it needs, so that
- * a night goes on with the document's version that it began with.
+ * The run of one window on one business date, as recorded in the state service and shared by all
+ * controllers. The record contains everything that is needed to carry it out, so an open night is
+ * not affected by later versions of the document.
  *
- * @param opensMs when its jobs may start, and {@code cutOffMs} from when on none may; milliseconds
- *     of the time of day, UTC
+ * @param window name of the window
+ * @param date business date
+ * @param opensMs wall clock time in milliseconds since the epoch from which tasks may start
+ * @param cutOffMs wall clock time in milliseconds since the epoch from which no task may start
+ * @param selector which jobs belong to the window
+ * @param cutOffAction what happens to tasks that still run at the cut-off
+ * @param version version of the document that the night was planned by
+ * @param phase current phase
  */
 record Night(
     String window,
@@ -26,15 +33,19 @@
     CutOffAction cutOffAction,
     long version,
     Phase phase) {
-  /** A night's phases, each reached by one guarded write. */
+  /** Phases of a night, in order. Each transition is one guarded write of the leader. */
   enum Phase {
+    /** The night has not opened; its record still follows the document. */
     PLANNED,
+    /** Tasks may start. */
     OPEN,
-    /** Nothing starts any more; some of its tasks may still run. */
+    /** The cut-off has passed and no task may start; some may still be running. */
     CLOSING,
+    /** No task is running any more. */
     CLOSED
   }
 
+  /** Unique name, window@date, under which the night is recorded. */
   String name() {
     return window + "@" + date;
   }
@@ -43,7 +54,7 @@
     return new Night(window, date, opensMs, cutOffMs, selector, cutOffAction, version, next);
   }
 
-  /** Whether it is the same night by the same rules, in whatever phase and version. */
+  /** Whether both are equal except for phase and document version. */
   boolean hasSameDefinition(Night other) {
     return other
         .withPhase(phase)
@@ -52,6 +63,7 @@
                 window, date, opensMs, cutOffMs, selector, cutOffAction, other.version, phase));
   }
 
+  /** The night as it is stored. */
   ObjectNode toNode() {
     ObjectNode map =
         Cbor.map()
@@ -66,6 +78,7 @@
     return map;
   }
 
+  /** Reads a stored night. */
   static Night parse(JsonNode map) throws MalformedException {
     try {
       return new Night(
@@ -78,7 +91,7 @@
           Fields.count(map, "version"),
           Phase.valueOf(Fields.text(map, "phase").toUpperCase(Locale.ROOT)));
     } catch (DateTimeParseException | IllegalArgumentException e) {
-      throw new MalformedException("not a night: " + e.getMessage());
+      throw new MalformedException("invalid night record: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/dunlincroft/calendar/RunTimeEstimator.java
+++ b/src/main/java/dunlincroft/calendar/RunTimeEstimator.java
@@ -6,15 +6,20 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** How long tasks really run, against what their owners estimate: by class, as they end. */
+/**
+ * Estimates the run time of tasks from the ratio of actual to expected run time that completed
+ * tasks of the same class had.
+ */
 final class RunTimeEstimator {
-  /** Ratios are counted in thousandths, up to a hundred times. */
+  /** Ratios are recorded in thousandths. */
   private static final double MILLI = 1000;
 
+  /** Thousandths: a ratio of 100. Higher ratios are recorded as this. */
   private static final long MAX_RATIO = 100_000;
 
   private final Map<String, Histogram> ratiosByClass = new HashMap<>();
 
+  /** Records the run time of a completed task. */
   void addSample(JobSpec spec, double seconds) {
     if (spec.estimatedRunS() > 0) {
       long ratio = (long) Math.max(1, Math.min(MAX_RATIO, MILLI * seconds / spec.estimatedRunS()));
@@ -24,7 +29,11 @@
     }
   }
 
-  /** Seconds in which all but the stated risk of a job's tasks end. */
+  /**
+   * Seconds within which a job's tasks complete, except for a fraction {@link
+   * Constants#CUT_OFF_OVERRUN_FRACTION}. A default ratio is used until enough tasks of the class
+   * have completed.
+   */
   double estimateSeconds(JobSpec spec) {
     Histogram histogram = ratiosByClass.get(spec.jobclass());
     double ratio =
--- a/src/main/java/dunlincroft/calendar/SettlementCalendar.java
+++ b/src/main/java/dunlincroft/calendar/SettlementCalendar.java
@@ -24,16 +24,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The settlement calendar at work. Nights are records that all controllers share; the leader moves
- * them from phase to phase, each by one guarded write, and whoever leads next goes on where they
- * are. A start is guarded by its night's record, so that none decided before a change of phase is
- * recorded after it. Times of day are off by a known bound: an opening is late by it and a cut-off
- * early, never the other way round.
+ * Carries out the settlement calendar: tasks of a job that belongs to a window may start only while
+ * a night of that window is open. Nights are records in the state service. The leader advances
+ * their phases, each by one guarded write, so a new leader continues from the recorded phase. Every
+ * start is guarded by the stamp of its night's record: a start that was decided before a change of
+ * phase cannot be recorded after it. Wall clocks are assumed to have a bounded error: openings are
+ * delayed and cut-offs advanced by that bound, so that no task ever starts outside its window.
  */
 public final class SettlementCalendar implements Condition {
   private static final Logger LOG = LoggerFactory.getLogger(SettlementCalendar.class);
 
-  /** Name of the operators' document. */
+  /** Name of the operators' document that defines the calendar. */
   public static final String DOCUMENT = "calendar";
 
   private final Env env;
@@ -50,7 +51,7 @@
   private long nextForecastAt;
 
   /**
-   * @param clockErrorMs the most by which a controller's time of day is off
+   * @param clockErrorMs maximum error of a controller's wall clock, in milliseconds
    */
   public SettlementCalendar(
       Env env, StateStore store, Replica replica, JobIndex index, double clockErrorMs) {
@@ -61,9 +62,9 @@
     this.clockErrorMs = (long) Math.ceil(clockErrorMs);
   }
 
-  // ---- following the records ----
+  // ---- record updates ----
 
-  /** A record changed. */
+  /** Handles a change of a record in the replica of the state service. */
   public void onChange(String kind, String name) {
     switch (kind) {
       case Replica.NIGHTS -> {
@@ -89,17 +90,20 @@
       if (text != null && text.version() != version) {
         document = CalendarDocument.parse(text.text());
         version = text.version();
-        LOG.info("settlement calendar: version {} holds from the next night on", version);
+        LOG.info(
+            "settlement calendar: version {} applies to nights that are not open yet", version);
       } else if (replica.get(Replica.DOCUMENTS, DOCUMENT) == null) {
         document = null;
         version = 0;
       }
     } catch (MalformedException e) {
-      LOG.error("the settlement calendar cannot be read, the one before holds: {}", e.getMessage());
+      LOG.error(
+          "settlement calendar document is invalid, the previous version stays in force: {}",
+          e.getMessage());
     }
   }
 
-  // ---- the condition ----
+  // ---- start condition ----
 
   @Override
   public boolean active() {
@@ -109,7 +113,10 @@
     return document != null || !nights.isEmpty();
   }
 
-  /** The night that a job is in, of those that are not closed: one that is open, or the next. */
+  /**
+   * The night that applies to a job: an open one, else the next planned one, else one that is
+   * closing; null if there is none.
+   */
   private Night nightOf(JobSpec spec) {
     Night best = null;
     for (Night night : nights.values()) {
@@ -122,7 +129,7 @@
     return best;
   }
 
-  /** Open ones first, then those to come, then those that are closing. */
+  /** Sort key of nights: by phase (open, planned, closing), then by time of opening. */
   private static long sortKey(Night night) {
     long priority =
         switch (night.phase()) {
@@ -133,8 +140,13 @@
     return (priority << PHASE_BITS) + night.opensMs();
   }
 
+  /** Bits of the sort key below the phase; a time in milliseconds fits into them. */
   private static final int PHASE_BITS = 50;
 
+  /**
+   * Whether tasks may start. Starts end before the cut-off by {@link Constants#LAST_START_LEAD_MS},
+   * because a worker may execute a start order some time after it was decided.
+   */
   private boolean isOpen(Night night) {
     long wallMs = env.wallMillis();
     return night.phase() == Phase.OPEN
@@ -152,7 +164,8 @@
     }
     long wallMs = env.wallMillis();
     double runTimeMs = 1000 * runTimes.estimateSeconds(spec);
-    // What saves loses nothing at a cut-off; what does not is begun only if it can end.
+    // A task that saves snapshots loses no work at a cut-off, unless it is stopped at once, so time
+    // for its first snapshot is enough. Any other task must be expected to complete before it.
     double requiredMs =
         spec.snapshotIntervalS() > 0 && night.cutOffAction() != CutOffAction.STOP
             ? Math.min(runTimeMs, 1000 * (spec.snapshotIntervalS() + spec.saveDurationS()))
@@ -190,13 +203,14 @@
     runTimes.addSample(spec, seconds);
   }
 
-  // ---- the leader ----
+  // ---- leader duties ----
 
   /**
-   * Moves nights on; called by the leader, now and then.
+   * Advances phases, records planned nights and removes expired ones; called periodically on the
+   * leader.
    *
-   * @param leaderTxn a transaction with the guard under which a leader writes
-   * @param txnOps the most changes in it
+   * @param leaderTxn creates a transaction that is guarded by leadership
+   * @param txnOps maximum number of changes in a transaction
    */
   public void leaderTick(Supplier<Txn> leaderTxn, int txnOps) {
     if (!active() || writeInFlight) {
@@ -238,6 +252,7 @@
     }
   }
 
+  /** The phase that a night should be in. Clock errors delay its opening and advance its end. */
   private Phase nextPhase(Night night, long wallMs) {
     boolean afterCutOff = wallMs + clockErrorMs >= night.cutOffMs();
     return switch (night.phase()) {
@@ -259,12 +274,16 @@
     return false;
   }
 
+  /** Adds a guarded write of a night to a transaction. */
   private void putNight(Txn txn, Night night) {
     String key = Wire.key(Replica.NIGHTS, night.name());
     txn.guard(key, replica.stamp(Replica.NIGHTS, night.name())).put(key, night.toNode());
   }
 
-  /** Writes nights to come; those that have not begun follow the document. */
+  /**
+   * Records the nights of yesterday, today and tomorrow that have not reached their cut-off. Nights
+   * in phase PLANNED are updated, or removed if the document no longer contains them.
+   */
   private void planNights(Txn txn, long wallMs, int txnOps) {
     LocalDate today = document.dateOf(wallMs);
     Map<String, Night> planned = new HashMap<>();
@@ -294,7 +313,10 @@
     }
   }
 
-  /** Whether a night's work will be over in time, by what is known of run times. */
+  /**
+   * Logs how many cores an open night needs in order to complete its remaining work before the
+   * cut-off, by the estimated run times, and how many it uses.
+   */
   private void logForecast(Night night, long wallMs) {
     double coreSeconds = 0;
     double runningCores = 0;
@@ -310,7 +332,7 @@
     double remainingS = Math.max(1, (night.cutOffMs() - clockErrorMs - wallMs) / 1000.0);
     double coresPerTask = coreSeconds / remainingS;
     LOG.info(
-        "night {}: {} tasks open, {} s until the cut-off; {} cores would be over in time, {} run",
+        "night {}: {} unfinished tasks, {} s until the cut-off; {} cores needed, {} in use",
         night.name(),
         unfinishedTasks,
         (long) remainingS,
--- a/src/main/java/dunlincroft/migration/Migration.java
+++ b/src/main/java/dunlincroft/migration/Migration.java
@@ -8,26 +8,32 @@
 import java.util.Locale;
 
 /**
- * Where a workload stands, as all controllers share it. Every step is one guarded write with a
- * higher epoch, and adds one entry to a history that is never rewritten.
+ * State of a workload's migration, as recorded in the state service and shared by all controllers.
+ * Every step is one guarded write that increments the epoch and appends an entry to an immutable
+ * history.
  *
- * @param sinceMs when the phase began, by the time of day
+ * @param workload definition of the workload when the migration started
+ * @param epoch number of the last step
+ * @param sinceMs wall clock time in milliseconds at which the phase began or was resumed
+ * @param paused whether the phase stays as it is until an operator resumes the migration
  */
 record Migration(Workload workload, Phase phase, long epoch, long sinceMs, boolean paused) {
-  /** The steps, in order; BACK leads from any of them to OLD. */
+  /** Phases in order. BACK can follow any other phase except OLD, and leads to OLD. */
   enum Phase {
-    /** On the old side alone. */
+    /** All tasks run on the old side. */
     OLD,
+    /** A small share of the tasks runs on the new side. */
     CANARY,
+    /** A larger share of the tasks runs on the new side. */
     BOTH,
-    /** Moving to the new side alone. */
+    /** All tasks are moving to the new side. */
     CUTOVER,
-    /** On the new side alone, for good. */
+    /** All tasks run on the new side; the migration is complete. */
     SETTLED,
-    /** Moving to the old side alone. */
+    /** Rollback: all tasks are moving to the old side. */
     BACK;
 
-    /** The next step, or null: it ends here. */
+    /** The phase that follows, or null if the migration is complete. */
     Phase next() {
       return switch (this) {
         case OLD -> CANARY;
@@ -40,7 +46,7 @@
     }
   }
 
-  /** The part of each job's tasks that stands on the new side. */
+  /** Fraction of each job's tasks that belongs on the new side. */
   double newSideShare() {
     return switch (phase) {
       case OLD, BACK -> 0;
@@ -50,19 +56,22 @@
     };
   }
 
+  /** The state after a step to another phase. */
   Migration withPhase(Phase next, long nowMs) {
     return new Migration(workload, next, epoch + 1, nowMs, false);
   }
 
+  /** The state after a pause. */
   Migration withPause() {
     return new Migration(workload, phase, epoch + 1, sinceMs, true);
   }
 
-  /** Goes on; its phase is watched from now on. */
+  /** The state after a pause has ended; the soak time of the phase begins anew. */
   Migration withoutPause(long nowMs) {
     return new Migration(workload, phase, epoch + 1, nowMs, false);
   }
 
+  /** The migration as it is stored. */
   ObjectNode toNode() {
     ObjectNode map =
         Cbor.map()
@@ -74,6 +83,7 @@
     return map;
   }
 
+  /** Reads a stored migration. */
   static Migration parse(JsonNode map) throws MalformedException {
     try {
       return new Migration(
@@ -83,7 +93,7 @@
           Fields.count(map, "since"),
           Fields.flag(map, "paused"));
     } catch (IllegalArgumentException e) {
-      throw new MalformedException("not a migration: " + e.getMessage());
+      throw new MalformedException("invalid migration record: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/dunlincroft/migration/MigrationLedger.java
+++ b/src/main/java/dunlincroft/migration/MigrationLedger.java
@@ -30,22 +30,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The migration ledger: which workloads run on the old side, on the new one, or on both. The leader
- * decides steps, each by one guarded write, and whoever leads next goes on where the record is.
- * Every start of a workload's tasks is guarded by its record, so that none decided under an earlier
- * step is recorded after it. Operators ask by a record of their own, one at a time.
+ * Controls the migrations of workloads from an old to a new set of machines. The leader advances
+ * them, each step by one guarded write, so a new leader continues from the recorded state. Every
+ * start of a workload's tasks is guarded by the stamp of the migration's record: a start that was
+ * decided in an earlier step cannot be recorded after a later one. Operators make requests by
+ * creating a request record, of which a workload has one at a time.
  */
 public final class MigrationLedger implements Condition {
   private static final Logger LOG = LoggerFactory.getLogger(MigrationLedger.class);
 
-  /** Name of the operators' document. */
+  /** Name of the operators' document that defines the workloads. */
   public static final String DOCUMENT = "migration";
 
-  /** What operators may ask for. */
+  /** Requests of operators. */
   public enum Request {
+    /** Start a migration, by the newest version of the document. */
     START,
+    /** Stay in the current phase. */
     PAUSE,
+    /** Continue after a pause. */
     RESUME,
+    /** Roll back to the old side. */
     BACK
   }
 
@@ -69,19 +74,19 @@
     this.blocks = blocks;
   }
 
-  /** Checks a document; the message of a fault has a line for each of them. */
+  /** Validates a document. The exception's message has one line for each error, with its path. */
   public static void check(String toml) throws MalformedException {
     Workload.parseAll(toml);
   }
 
-  /** Key under which operators ask for something. */
+  /** State service key of an operator's request. */
   public static String requestKey(String workload) {
     return Wire.key(Replica.MIGRATION_REQUESTS, workload);
   }
 
-  // ---- following the records ----
+  // ---- record updates ----
 
-  /** A record changed. */
+  /** Handles a change of a record in the replica of the state service. */
   public void onChange(String kind, String name) {
     switch (kind) {
       case Replica.MIGRATIONS -> {
@@ -112,17 +117,19 @@
         LOG.info("migration ledger: version {} with {} workloads", version, byName.size());
       }
     } catch (MalformedException e) {
-      LOG.error("the migration document cannot be read, the one before holds: {}", e.getMessage());
+      LOG.error(
+          "migration document is invalid, the previous version stays in force: {}", e.getMessage());
     }
   }
 
-  // ---- the condition ----
+  // ---- start condition ----
 
   @Override
   public boolean active() {
     return !migrations.isEmpty();
   }
 
+  /** The migration that a job belongs to, or null. */
   private Migration migrationOf(JobSpec spec) {
     for (Migration migration : migrations.values()) {
       if (migration.workload().matches(spec)) {
@@ -132,7 +139,12 @@
     return null;
   }
 
-  /** The first tasks of a job stand on the new side, as many as its part is. */
+  /**
+   * Division of a job's tasks between the sides: the tasks with the lowest numbers belong on the
+   * new side.
+   *
+   * @param newSideTasks number of tasks on the new side
+   */
   private record JobSides(Workload workload, int newSideTasks) implements MigrationSides {
     static JobSides of(Migration migration, JobSpec spec) {
       return new JobSides(
@@ -176,13 +188,13 @@
   @Override
   public void onTaskFinished(JobSpec spec, double seconds) {}
 
-  // ---- the leader ----
+  // ---- leader duties ----
 
   /**
-   * Carries out what operators ask, and moves workloads on; called by the leader, now and then.
+   * Carries out requests of operators and advances migrations; called periodically on the leader.
    *
-   * @param leaderTxn a transaction with the guard under which a leader writes
-   * @param txnOps the most changes in it
+   * @param leaderTxn creates a transaction that is guarded by leadership
+   * @param txnOps maximum number of changes in a transaction
    */
   public void leaderTick(Supplier<Txn> leaderTxn, int txnOps) {
     Map<String, Replica.Item> requests = replica.items(Replica.MIGRATION_REQUESTS);
@@ -222,7 +234,7 @@
     }
   }
 
-  /** Changes of one step: the record, its history, and what was asked. */
+  /** Changes of one step: the migration's record, a history entry and removal of the request. */
   private static final int CHANGES_PER_STEP = 3;
 
   private void applyRequest(Txn txn, String name, Replica.Item item, List<String> steps) {
@@ -233,7 +245,7 @@
     try {
       next = applyRequest(name, current, Request.valueOf(item.data().path("ask").asText()));
     } catch (IllegalArgumentException e) {
-      LOG.info("migration {}: nobody knows what {} is", name, item.data());
+      LOG.info("migration {}: ignoring unknown request {}", name, item.data());
     }
     if (next != null) {
       putStep(txn, current, next, item.data().path("by").asText(), steps);
@@ -244,7 +256,7 @@
     long wallMs = env.wallMillis();
     Workload workload = workloads.get(name);
     if (current == null || current.phase() == Phase.OLD) {
-      // Only what rests on the old side begins, and then by the newest document.
+      // A migration starts from the old side only, with the newest definition of the workload.
       return request == Request.START && workload != null
           ? new Migration(
               workload, Phase.CANARY, current == null ? 1 : current.epoch() + 1, wallMs, false)
@@ -258,7 +270,11 @@
     };
   }
 
-  /** The step that is due, or null. */
+  /**
+   * The step that is due, or null. A phase ends after its soak time if every replica of the
+   * services runs on its side. If that is not so after {@link Constants#UNHEALTHY_SOAK_FACTOR} soak
+   * times, the migration is rolled back or paused. A rollback is never given up.
+   */
   private Migration dueStep(Migration migration) {
     Phase next = migration.phase().next();
     boolean terminal = migration.phase() == Phase.OLD || next == null;
@@ -283,7 +299,7 @@
     return null;
   }
 
-  /** Whether every replica of the workload's services stands on its side, by the records. */
+  /** Whether every replica of the workload's services is recorded on its side. */
   private boolean isComplete(Migration migration) {
     for (JobIndex.Job job : index.all().values()) {
       if (!job.spec.isService() || !migration.workload().matches(job.spec)) {
@@ -312,6 +328,7 @@
     return true;
   }
 
+  /** Adds the guarded writes of a step and of its history entry to a transaction. */
   private void putStep(Txn txn, Migration from, Migration to, String by, List<String> steps) {
     String name = to.workload().name();
     String key = Wire.key(Replica.MIGRATIONS, name);
--- a/src/main/java/dunlincroft/migration/MigrationSide.java
+++ b/src/main/java/dunlincroft/migration/MigrationSide.java
@@ -10,11 +10,18 @@
 import java.util.List;
 
 /**
- * The machines of one side of a workload; what is null does not matter. {@code from} and {@code to}
- * are a part of the ring of machines' names, from 0 to 1.
+ * Set of machines that forms one side of a migration.
+ *
+ * @param zones allowed zones, or null for any
+ * @param types allowed machine types, or null for any
+ * @param spot whether machines must be preemptible (spot) ones, or null for any
+ * @param hashFrom lower bound, inclusive, of the hash of the machine's name, scaled to the range
+ *     from 0 to 1
+ * @param hashTo upper bound, exclusive, of that hash
  */
 record MigrationSide(
     List<String> zones, List<String> types, Boolean spot, double hashFrom, double hashTo) {
+  /** Whether a machine belongs to the side. */
   boolean contains(String host, String type, String zone, boolean preemptible) {
     double hash = (Hashing.of(host) >>> 11) * 0x1p-53;
     return (zones == null || zones.contains(zone))
@@ -24,7 +31,7 @@
         && hash < hashTo;
   }
 
-  /** Whether no machine can be of both. */
+  /** Whether no machine can belong to both sides. */
   boolean isDisjointFrom(MigrationSide other) {
     return (zones != null && other.zones != null && Collections.disjoint(zones, other.zones))
         || (types != null && other.types != null && Collections.disjoint(types, other.types))
@@ -33,6 +40,7 @@
         || other.hashTo <= hashFrom;
   }
 
+  /** The side as it is stored. */
   ObjectNode toNode() {
     ObjectNode map = Cbor.map().put("from", hashFrom).put("to", hashTo);
     if (zones != null) {
@@ -47,6 +55,7 @@
     return map;
   }
 
+  /** Reads a side of a document or a record. */
   static MigrationSide parse(JsonNode map) throws MalformedException {
     return new MigrationSide(
         Fields.textsOrNull(map, "zones"),
--- a/src/main/java/dunlincroft/migration/Workload.java
+++ b/src/main/java/dunlincroft/migration/Workload.java
@@ -14,9 +14,19 @@
 import java.util.Set;
 
 /**
- * A workload that moves from one side to the other: which jobs, the sides, which part of each job's
- * tasks stands on the new side as a canary and in {@code both}, how long a phase is watched, and
- * what happens when it does not become whole in four times that: pause, or back to the old side.
+ * Definition of a workload that is migrated from one set of machines to another.
+ *
+ * @param jobclass required job class, or null for any
+ * @param team required team, or null for any
+ * @param image required image, or null for any
+ * @param prefix required prefix of the job's ref, or null for any
+ * @param oldSide machines that the workload leaves
+ * @param newSide machines that the workload moves to
+ * @param canaryShare fraction of each job's tasks on the new side in phase CANARY
+ * @param bothShare fraction of each job's tasks on the new side in phase BOTH
+ * @param soakS soak time: minimum seconds in a phase before the next one
+ * @param rollBackIfIncomplete whether the migration is rolled back, instead of paused, if after
+ *     four soak times some replicas still do not run on their side
  */
 record Workload(
     String name,
@@ -33,6 +43,7 @@
   private static final Set<String> FIELDS =
       Set.of("name", "select", "old", "new", "canary", "share", "soak_s", "when_ill");
 
+  /** Whether a job belongs to the workload. */
   boolean matches(JobSpec spec) {
     return (jobclass == null || jobclass.equals(spec.jobclass()))
         && (team == null || team.equals(spec.team()))
@@ -40,7 +51,7 @@
         && (prefix == null || spec.ref().startsWith(prefix));
   }
 
-  /** The workload as its record keeps it, with all that it needs. */
+  /** The workload as it is stored in a migration's record; it has the format of the document. */
   ObjectNode toNode() {
     ObjectNode map =
         Cbor.map()
@@ -59,11 +70,12 @@
     return map;
   }
 
+  /** Reads a workload of a document or a record. The message of an error begins with the field. */
   static Workload parse(JsonNode map) throws MalformedException {
     for (var fieldNames = map.fieldNames(); fieldNames.hasNext(); ) {
       String field = fieldNames.next();
       if (!FIELDS.contains(field)) {
-        throw new MalformedException(field + ": there is no such field");
+        throw new MalformedException(field + ": unknown field");
       }
     }
     JsonNode select = map.path("select");
@@ -82,25 +94,25 @@
             "back".equals(Fields.textOrNull(map, "when_ill")));
     String whenIll = Fields.textOrNull(map, "when_ill");
     if (!workload.name.matches("[a-z0-9][a-z0-9-]{0,39}")) {
-      throw new MalformedException("name: small letters, digits and dashes, 40 at the most");
+      throw new MalformedException("name: must be 1 to 40 lower-case letters, digits and dashes");
     }
     if (whenIll != null && !whenIll.equals("back") && !whenIll.equals("pause")) {
-      throw new MalformedException("when_ill: pause or back");
+      throw new MalformedException("when_ill: must be pause or back");
     }
     if (workload.canaryShare > workload.bothShare || workload.bothShare > 1) {
       throw new MalformedException(
-          "canary, share: from 0 to 1, and the canary no more than the share");
+          "canary, share: must be from 0 to 1, and canary must not exceed share");
     }
     if (!workload.oldSide.isDisjointFrom(workload.newSide)) {
-      throw new MalformedException("old, new: a machine may be of both");
+      throw new MalformedException("old, new: a machine could belong to both sides");
     }
     if (select.isEmpty()) {
-      throw new MalformedException("select: must name a class, a team, an image or a prefix");
+      throw new MalformedException("select: requires a class, a team, an image or a prefix");
     }
     return workload;
   }
 
-  /** Reads a document; the message of a fault has a line for each of them, with its path. */
+  /** Parses a document. The exception's message has one line for each error, with its path. */
   static List<Workload> parseAll(String toml) throws MalformedException {
     JsonNode root;
     try {
@@ -118,13 +130,13 @@
     List<Workload> workloads = new ArrayList<>();
     JsonNode list = root.path("workloads");
     if (!list.isArray() || list.isEmpty()) {
-      errors.add("workloads: there must be one at the least");
+      errors.add("workloads: at least one is required");
     }
     for (int i = 0; i < list.size(); i++) {
       try {
         Workload workload = parse(list.get(i));
         if (workloads.stream().anyMatch(other -> other.name.equals(workload.name))) {
-          errors.add("workloads[" + i + "].name: " + workload.name + " is there twice");
+          errors.add("workloads[" + i + "].name: " + workload.name + " is used more than once");
         }
         workloads.add(workload);
       } catch (MalformedException e) {
--- a/src/main/java/dunlincroft/operators/Expression.java
+++ b/src/main/java/dunlincroft/operators/Expression.java
@@ -3,12 +3,12 @@
 import java.util.function.Function;
 
 /**
- * A checked expression: it has a value for all inputs of its scope.
+ * A type-checked expression. Its evaluation succeeds for all inputs of its scope.
  *
- * @param constant true when the value depends on no input
+ * @param constant whether the value depends on no input
  */
 record Expression(ValueType type, boolean constant, Function<Inputs, Object> value) {
-  /** Numbers stay within this, so that no sum or product becomes infinite or undefined. */
+  /** Numbers are clamped to this magnitude, so that none becomes infinite or NaN. */
   private static final double MAX_MAGNITUDE = 1e15;
 
   static Expression of(double number) {
@@ -36,7 +36,7 @@
     return (Boolean) value.apply(inputs);
   }
 
-  /** An expression of the values of others; one of constants alone is worked out once. */
+  /** An expression computed from operands; if all are constant it is evaluated only once. */
   static Expression combine(
       ValueType type, Function<Inputs, Object> value, Expression... operands) {
     for (Expression operand : operands) {
--- a/src/main/java/dunlincroft/operators/Inputs.java
+++ b/src/main/java/dunlincroft/operators/Inputs.java
@@ -1,12 +1,13 @@
 package dunlincroft.operators;
 
-/** What an expression may ask about: names of its setting's scope, checked before it ever runs. */
+/** Values of the inputs of an expression, by name. Names have been checked against the scope. */
 interface Inputs {
+  /** Inputs of the empty scope. */
   Inputs NONE =
       name -> {
-        throw new IllegalStateException(name + " is of no scope");
+        throw new IllegalStateException(name + " is not an input of this scope");
       };
 
-  /** A Double, a Boolean or a String, as the scope says. */
+  /** Value of an input: a Double, a Boolean or a String according to its type in the scope. */
   Object get(String name);
 }
--- a/src/main/java/dunlincroft/operators/Lexer.java
+++ b/src/main/java/dunlincroft/operators/Lexer.java
@@ -6,9 +6,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Splits an operators' file into tokens, each with its place. */
+/** Splits an operators' settings file into tokens with their line and column. */
 final class Lexer {
-  /** The kinds of tokens; END follows the last one. */
+  /** Types of tokens; END marks the end of the file. */
   enum TokenType {
     NUMBER,
     STRING,
@@ -18,17 +18,19 @@
   }
 
   record Token(TokenType type, String text, int line, int column) {
+    /** Whether the token is a symbol or word with this text. */
     boolean is(String expected) {
       return (type == TokenType.SYMBOL || type == TokenType.WORD) && text.equals(expected);
     }
 
+    /** An exception whose message names the token's position. */
     MalformedException error(String message) {
       return new MalformedException("line " + line + ", column " + column + ": " + message);
     }
 
-    /** How an error names it. */
+    /** Description in error messages. */
     String description() {
-      return type == TokenType.END ? "the end" : "'" + text + "'";
+      return type == TokenType.END ? "the end of the file" : "'" + text + "'";
     }
   }
 
--- a/src/main/java/dunlincroft/operators/Parser.java
+++ b/src/main/java/dunlincroft/operators/Parser.java
@@ -9,14 +9,15 @@
 import java.util.Set;
 
 /**
- * Reads and checks an operators' file (grammar in docs/operations.md). What passes can fail no
- * more: names and types are known, nothing is divided by an input, there are no loops.
+ * Recursive descent parser and type checker of the operators' settings file (grammar in
+ * docs/operations.md). An accepted expression cannot fail at evaluation: names and types have been
+ * checked, divisors are constants other than 0, and the language has no loops.
  */
 final class Parser {
-  /** Levels. Deeper nesting is refused, so that no file exhausts the stack. */
+  /** Maximum levels of nesting. Without a limit a file could exhaust the parser's stack. */
   private static final int MAX_DEPTH = 50;
 
-  /** Tokens. A longer statement is refused: its value would need a deep stack as well. */
+  /** Maximum tokens of a statement. Evaluating a longer one could exhaust the stack as well. */
   private static final int MAX_STATEMENT_TOKENS = 400;
 
   private static final Set<String> KEYWORDS =
@@ -32,6 +33,7 @@
     this.tokens = tokens;
   }
 
+  /** Parses a file into the expressions of the settings that it contains. */
   static Map<Setting, Expression> parse(String file) throws MalformedException {
     Parser parser = new Parser(Lexer.tokenize(file));
     Map<Setting, Expression> rules = new EnumMap<>(Setting.class);
@@ -65,7 +67,7 @@
     rules.put(setting, rule);
   }
 
-  // ---- expressions, the weakest binding first ----
+  // ---- expressions, lowest precedence first ----
 
   private Expression expression() throws MalformedException {
     if (++depth > MAX_DEPTH) {
@@ -103,7 +105,7 @@
         throws MalformedException;
   }
 
-  /** Operands of one kind between signs of one strength, from the left. */
+  /** Parses operands of one type, separated by left-associative operators of one precedence. */
   private Expression leftAssociative(
       Set<String> operators, ValueType type, OperandParser operand, Combiner combiner)
       throws MalformedException {
@@ -212,7 +214,7 @@
                 b);
           }
           if (!b.constant() || b.number(Inputs.NONE) == 0) {
-            throw rightStart.error("only a constant other than 0 may divide");
+            throw rightStart.error("the divisor must be a constant other than 0");
           }
           return Expression.combine(
               ValueType.NUMBER,
@@ -256,9 +258,9 @@
     }
     if (token.is("min") || token.is("max")) {
       expect("(");
-      Expression first = expressionOf(ValueType.NUMBER, "what " + token.text() + " takes");
+      Expression first = expressionOf(ValueType.NUMBER, "an argument of " + token.text() + "()");
       expect(",");
-      Expression second = expressionOf(ValueType.NUMBER, "what " + token.text() + " takes");
+      Expression second = expressionOf(ValueType.NUMBER, "an argument of " + token.text() + "()");
       expect(")");
       boolean isMin = token.is("min");
       return Expression.combine(
@@ -286,6 +288,7 @@
 
   // ---- helpers ----
 
+  /** Parses an expression that must have a type. */
   private Expression expressionOf(ValueType type, String what) throws MalformedException {
     Token start = peek();
     Expression parsed = expression();
@@ -301,9 +304,9 @@
     if (operand.type() != type) {
       throw operator.error(
           operator.description()
-              + " needs "
+              + " requires "
               + type.description
-              + " on this side, not "
+              + ", not "
               + operand.type().description);
     }
     return operand;
@@ -313,6 +316,7 @@
     return tokens.get(next);
   }
 
+  /** Returns the next token and advances past it, except at the end of the file. */
   private Token consume() throws MalformedException {
     Token token = peek();
     if (next - statementStart > MAX_STATEMENT_TOKENS) {
--- a/src/main/java/dunlincroft/operators/Policy.java
+++ b/src/main/java/dunlincroft/operators/Policy.java
@@ -7,8 +7,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The operators' own settings; what their file leaves out keeps its preset. */
+/** The operators' settings. Settings that their file does not contain have default values. */
 public final class Policy {
+  /** Default values of all settings. */
   public static final Policy DEFAULT = new Policy(Map.of());
 
   private static final double MILLI = 1000;
@@ -21,47 +22,53 @@
     }
   }
 
-  /** Reads a file; an error names its line and column. */
+  /** Parses a settings file. The exception's message names line and column of the error. */
   public static Policy parse(String file) throws MalformedException {
     return new Policy(Parser.parse(file));
   }
 
-  /** Fraction of a machine's cpus at which it is full. */
+  /** Fraction of a machine's CPUs that may be used; beyond it the machine counts as full. */
   public double loadBound(MachineType type, String zone, boolean spot) {
     return number(Setting.BOUND, machineInputs(type, zone, spot));
   }
 
-  /** Fraction of a machine with services that other work leaves free. */
+  /** Fraction of a machine that runs services which other work must leave free. */
   public double serviceReserve(MachineType type, String zone, boolean spot) {
     return number(Setting.RESERVE, machineInputs(type, zone, spot));
   }
 
-  /** Most of the random extra that a placement leaves free, in rooms of one task. */
+  /**
+   * Upper bound of the random buffer that a placement leaves free on a machine, in multiples of the
+   * resources of one task.
+   */
   public double maxPlacementBuffer(JobSpec spec) {
     return number(Setting.BUFFER, jobInputs(spec));
   }
 
-  /** Machines kept free for services in each zone. */
+  /** Number of machines kept free for services in each zone. */
   public double spareMachinesPerZone(MachineType type) {
     return number(Setting.SPARE, typeInputs(type));
   }
 
-  /** Machines of the type that are rented at the most. */
+  /** Maximum number of rented machines of a type. */
   public int maxRentals(MachineType type) {
     return (int) number(Setting.RENTALS_MOST, typeInputs(type));
   }
 
-  /** Work that one stopped task may lose for another team's guarantee, by the task's job. */
+  /**
+   * Maximum work, in milliseconds, that a task of a job may lose when it is preempted for another
+   * team's guarantee.
+   */
   public long maxPreemptionLossMs(JobSpec spec) {
     return (long) (number(Setting.PREEMPT_LOSS_S, jobInputs(spec)) * MILLI);
   }
 
-  /** Whether a job that allows spot machines gets them. */
+  /** Whether a job that accepts spot (preemptible) machines may be placed on them. */
   public boolean isSpotEnabled(JobSpec spec) {
     return rules.get(Setting.SPOT).bool(jobInputs(spec));
   }
 
-  /** Machines for each lease holder. */
+  /** Number of machines for each controller that owns leases. */
   public int machinesPerLeaseOwner() {
     return (int) number(Setting.HOLDER_MACHINES, Inputs.NONE);
   }
--- a/src/main/java/dunlincroft/operators/Setting.java
+++ b/src/main/java/dunlincroft/operators/Setting.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What operators may set, of what it may depend on, and the range its value is kept in. */
+/** Settings of operators, with the inputs that they may depend on and the range of their values. */
 enum Setting {
   BOUND("bound", Scope.MACHINE, Constants.MIN_LOAD_BOUND, 1, Constants.LOAD_BOUND),
   BUFFER("buffer", Scope.JOB, 0, Constants.MAX_LOAD_BUFFER, Constants.LOAD_BUFFER),
@@ -22,7 +22,7 @@
       Constants.MAX_RENTED_MACHINES,
       Constants.MACHINES_PER_OWNER);
 
-  /** Names that an expression may use, with their types. */
+  /** The inputs that an expression may use, with their types. */
   enum Scope {
     NONE(Map.of()),
     MACHINE(
@@ -68,7 +68,7 @@
     this.defaultValue = Expression.of(defaultValue);
   }
 
-  /** A setting that is true or false, and true without a file. */
+  /** A Boolean setting that is true by default. */
   Setting(String label, Scope scope) {
     this.label = label;
     this.scope = scope;
@@ -78,6 +78,7 @@
     this.defaultValue = Expression.of(true);
   }
 
+  /** The setting with a label, or null. */
   static Setting byLabel(String label) {
     for (Setting setting : values()) {
       if (setting.label.equals(label)) {
--- a/src/main/java/dunlincroft/operators/ValueType.java
+++ b/src/main/java/dunlincroft/operators/ValueType.java
@@ -1,11 +1,12 @@
 package dunlincroft.operators;
 
-/** The types of the operators' language. */
+/** Types of expressions in the operators' settings file. */
 enum ValueType {
   NUMBER("a number"),
   BOOLEAN("true or false"),
-  STRING("a text");
+  STRING("a string");
 
+  /** Description in error messages. */
   final String description;
 
   ValueType(String description) {
--- a/src/test/java/dunlincroft/calendar/CalendarDocumentTest.java
+++ b/src/test/java/dunlincroft/calendar/CalendarDocumentTest.java
@@ -44,8 +44,8 @@
   }
 
   /**
-   * When clocks change a time may not exist (01:30 on 29 March 2026 in London) or come twice (on 25
-   * October): a cut-off is read strictly, an opening late.
+   * At a clock change a local time may not exist (01:30 on 29 March 2026 in London) or occur twice
+   * (on 25 October): a cut-off is the earlier reading, an opening the later one.
    */
   @ParameterizedTest
   @CsvSource({
@@ -68,7 +68,7 @@
     assertThat(Instant.ofEpochMilli(nights.get(0).cutOffMs())).isEqualTo(to);
   }
 
-  /** The last of January 2026 is a Saturday; the second of February, a Monday, a holiday. */
+  /** 31 January 2026 is a Saturday, and the Monday after it, 2 February, is a holiday. */
   @ParameterizedTest
   @CsvSource({
     "following, 2026-02-03",
@@ -139,7 +139,7 @@
     return Arbitraries.of("Europe/London", "Africa/Nairobi", "America/New_York", "Asia/Kathmandu");
   }
 
-  /** Whatever clocks do, for years ahead: a night ends after it opens, within a day. */
+  /** Over eight years of clock changes the length of nights differs by at most an hour. */
   @Property(seed = "31", tries = 200)
   void nightsHaveTheConfiguredLength(
       @ForAll("zones") String zone,
@@ -159,7 +159,7 @@
     long length = Math.floorMod(cutOff - opens, 1440);
     for (Night night : nights) {
       long minutes = Duration.ofMillis(night.cutOffMs() - night.opensMs()).toMinutes();
-      // An hour of the clock is gained or lost at the most, and never gained by the window.
+      // A clock change alters the length by at most an hour.
       assertThat(minutes).isBetween(Math.max(-60, length - 60), length + 60);
     }
   }
--- a/src/test/java/dunlincroft/operators/PolicyTest.java
+++ b/src/test/java/dunlincroft/operators/PolicyTest.java
@@ -63,10 +63,10 @@
     assertThat(policy.isSpotEnabled(job("blue"))).isTrue();
     assertThat(policy.maxRentals(TYPE)).isEqualTo(12);
     assertThat(policy.spareMachinesPerZone(TYPE))
-        .as("kept in its range")
+        .as("clamped to its range")
         .isEqualTo(Constants.MAX_SPARE_MACHINES);
     assertThat(policy.serviceReserve(TYPE, "a", false))
-        .as("a preset")
+        .as("default value")
         .isEqualTo(Constants.SERVICE_RESERVE);
   }
 
@@ -78,14 +78,14 @@
         "bound = 2; | line 1, column 9: bound must be from 0.1 to 1.0",
         "bound = team; | line 1, column 9: bound cannot depend on 'team'",
         "bund = 1; | line 1, column 1: expected a setting, found 'bund'",
-        "bound = 1 | line 1, column 10: expected ';', found the end",
+        "bound = 1 | line 1, column 10: expected ';', found the end of the file",
         "bound = if spot then 1 else \"x\"; | line 1, column 29: the else part must be a number",
-        "bound = 1 / cpus; | line 1, column 13: only a constant other than 0 may divide",
-        "bound = 1 / (2 - 2); | line 1, column 13: only a constant other than 0 may divide",
-        "bound = zone + 1; | line 1, column 14: '+' needs a number",
+        "bound = 1 / cpus; | line 1, column 13: the divisor must be a constant other than 0",
+        "bound = 1 / (2 - 2); | line 1, column 13: the divisor must be a constant other than 0",
+        "bound = zone + 1; | line 1, column 14: '+' requires a number",
         "spot = 1; | line 1, column 8: spot must be true or false, not a number",
         "spot = true; spot = true; | line 1, column 14: spot is set twice",
-        "spot = team == 4; | line 1, column 13: '==' needs a text",
+        "spot = team == 4; | line 1, column 13: '==' requires a string",
         "spot = 'x'; | line 1, column 8: unexpected '''",
         "bound = then; | line 1, column 9: expected a value, found 'then'",
       })
@@ -116,7 +116,7 @@
     }
   }
 
-  /** Every generated expression of numbers passes, and has a value in range for every input. */
+  /** Every generated numeric expression is accepted, and its value is in range. */
   @Property(seed = "4", tries = 1000)
   void acceptedExpressionsHaveValuesInRange(@ForAll long seed) throws MalformedException {
     String text = numberExpression(new Random(seed), 3);
--- a/src/test/java/dunlincroft/sim/CalendarTest.java
+++ b/src/test/java/dunlincroft/sim/CalendarTest.java
@@ -15,11 +15,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A night's window with five controllers that fail at its edges. The observer stands outside: it
- * sees what begins on machines, by true time.
+ * A settlement night with five controllers and faults around its opening and its cut-off. The
+ * checks observe task starts on the simulated machines by simulated time, independently of the
+ * controllers' clocks.
  */
 class CalendarTest {
-  /** By the simulated time of day, which begins at 22:13:20 UTC. */
+  /** Simulated time of the opening; the simulation begins at 22:13:20 UTC. */
   private static final long OPENS_MS = 40_000;
 
   private static final long CUT_OFF_MS = 160_000;
@@ -40,7 +41,7 @@
         .formatted(cutOff, atCutOff);
   }
 
-  /** What fails, around the opening and the cut-off. */
+  /** Fault that is injected shortly before the opening and again before the cut-off. */
   private enum Fault {
     NONE(cluster -> {}),
     OWNER_CRASHES_TWICE(
@@ -106,30 +107,28 @@
     SimCluster cluster = clusterWithCalendar(41, document("stop", "22:16"));
     cluster.clock.after(OPENS_MS - 1500, () -> fault.injection.accept(cluster));
     cluster.clock.after(CUT_OFF_MS - 8000, () -> fault.injection.accept(cluster));
-    // Work that is there all the time, more than there is room for.
+    // More work than the cluster has capacity for, so that tasks wait at any time.
     JobSpec largeJob = RulesTest.simple("run-many", "blue", 6000, 1);
     cluster.clock.after(20_000, () -> cluster.user(largeJob, 0));
     cluster.clock.runUntil(OPENS_MS);
-    assertThat(cluster.checks.windowed).as("before it opens").isZero();
+    assertThat(cluster.checks.windowed).as("starts before the opening").isZero();
     cluster.clock.runUntil(CUT_OFF_MS - 10_000);
-    assertThat(cluster.checks.windowed).as("in its time").isGreaterThan(300);
+    assertThat(cluster.checks.windowed).as("starts while the night is open").isGreaterThan(300);
     cluster.clock.runUntil(CUT_OFF_MS + 60_000);
     assertThat(cluster.checks.running("run-many")).isZero();
     assertThat(phaseOfNight(cluster).asText()).isEqualTo("closed");
     cluster.clock.runUntil(400_000);
     assertThat(cluster.checks.broken).isEmpty();
     assertThat(cluster.checks.toldFinal)
-        .as("the night's jobs of the first minute are done")
+        .as("the jobs submitted in the first minute have completed")
         .containsKeys("run-n0", "run-n3", "run-n6");
     assertThat(cluster.checks.toldFinal)
-        .as("what was not in time waits for the next night")
+        .as("a job not completed at the cut-off waits for the next night")
         .doesNotContainKey("run-many");
     assertThat(cluster.checks.accepted).contains("run-many");
   }
 
-  /**
-   * A night goes on by the version that it began with; the next version holds for those to come.
-   */
+  /** An open night keeps the version that it opened with; a new version applies to later nights. */
   @Test
   void newVersionDoesNotChangeAnOpenNight() throws MalformedException {
     SimCluster cluster = clusterWithCalendar(42, document("finish", "22:16"));
@@ -144,7 +143,7 @@
     assertThat(cluster.checks.broken).isEmpty();
   }
 
-  /** Without a document nothing is written or held up. */
+  /** Without a document no night is recorded and no start is delayed. */
   @Test
   void withoutADocumentNoNightIsRecorded() throws MalformedException {
     SimCluster cluster = new SimCluster(43, Policy.DEFAULT, Size.FLEET);
--- a/src/test/java/dunlincroft/sim/MigrationTest.java
+++ b/src/test/java/dunlincroft/sim/MigrationTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Services move from one side to the other while controllers and machines fail. The observer stands
- * outside: it knows the record at each moment, and sees what begins on machines.
+ * Migration of services to other zones while controllers and machines fail. The checks compare each
+ * task start on the simulated machines with the phase recorded at that moment.
  */
 class MigrationTest {
   private static final long START_MS = 40_000;
   private static final int JOBS = 12;
 
-  /** The old side is zone a, the new one zones b and c. */
+  /** The old side is zone a, the new side zones b and c. */
   private static final String DOCUMENT =
       """
       [[workloads]]
@@ -38,7 +38,7 @@
       when_ill = "%s"
       """;
 
-  /** What fails, ten times, in the middle of the steps. */
+  /** Fault that is injected repeatedly during the migration. */
   private enum Fault {
     NONE(cluster -> {}),
     OWNER_CRASHES(cluster -> cluster.crashHolder(200)),
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Services run, wherever there is room, and a migration begins. */
+  /** Starts services in any zone and then a migration. */
   private static SimCluster startMigration(long seed, String whenIll) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.put("migration", DOCUMENT.formatted(whenIll));
@@ -105,7 +105,7 @@
     return cluster;
   }
 
-  /** Whether a phase lets tasks begin on a side; by the phases of docs/migration.md. */
+  /** Whether a phase allows task starts on a side; by the phases of docs/migration.md. */
   private static boolean isStartAllowed(String phase, boolean onOldSide) {
     return switch (phase) {
       case "old", "back" -> onOldSide;
@@ -133,7 +133,7 @@
     return count;
   }
 
-  private static void assertAllReplicasOn(SimCluster cluster, boolean onOldSide) {
+  private static void assertReplicasOnSide(SimCluster cluster, boolean onOldSide) {
     for (int i = 0; i < JOBS; i++) {
       assertThat(cluster.checks.zones("run-m" + i))
           .hasSize(4)
@@ -152,7 +152,7 @@
     int fewestRunning = 4 * JOBS;
     while (!phase(cluster).equals("settled") && cluster.clock.now() < until) {
       cluster.clock.runUntil(cluster.clock.now() + 250);
-      // So many machines may fail that a phase is ill; its operators let it go on.
+      // A fault may last so long that the migration is paused; an operator then resumes it.
       JsonNode record = cluster.state.under("d/migrations/").get("core");
       if (record != null
           && record.path("paused").asBoolean()
@@ -163,23 +163,23 @@
           fault == Fault.NONE ? Math.min(fewestRunning, runningReplicas(cluster)) : fewestRunning;
     }
     assertThat(phase(cluster)).isEqualTo("settled");
-    // One replica of a service at a time, and few of all: at once it would be all of them.
+    // Without faults few replicas move at a time: at least three quarters keep running.
     assertThat(fewestRunning).isGreaterThanOrEqualTo(4 * JOBS * 3 / 4);
     cluster.copies = 0;
     cluster.clock.runUntil(cluster.clock.now() + 60_000);
-    assertAllReplicasOn(cluster, false);
+    assertReplicasOnSide(cluster, false);
     assertThat(cluster.checks.broken).isEmpty();
     Map<String, JsonNode> history = cluster.state.under("d/migrationlog/core/");
     long epoch = cluster.state.under("d/migrations/").get("core").path("epoch").asLong();
-    assertThat(history).as("an entry for each step, and none twice").hasSize((int) epoch);
+    assertThat(history).as("exactly one history entry for each step").hasSize((int) epoch);
     assertThat(history.get("1").path("from").asText()).isEqualTo("none");
   }
 
-  /** Back to the old side from every step, also while the way there is half done. */
+  /** Rollback from every step, also while replicas are still moving. */
   @ParameterizedTest
   @EnumSource(
       value = Fault.class,
-      names = {"NONE", "HOLDER_ENDS", "ALL_END", "ALONE_WITH_ITS_WORKERS"})
+      names = {"NONE", "OWNER_CRASHES", "ALL_CRASH", "OWNER_PARTITIONED_WITH_WORKERS"})
   void rollsBackFromEveryStep(Fault fault) throws MalformedException {
     for (String step : new String[] {"canary", "both", "cutover"}) {
       SimCluster cluster = startMigration(52, "pause");
@@ -193,18 +193,19 @@
       cluster.clock.after(5000, () -> fault.injection.accept(cluster));
       cluster.clock.runUntil(cluster.clock.now() + 300_000);
       assertThat(phase(cluster)).isEqualTo("old");
-      assertAllReplicasOn(cluster, true);
+      assertReplicasOnSide(cluster, true);
       assertThat(cluster.checks.broken).isEmpty();
     }
   }
 
   /**
-   * A new side that cannot be had: nothing moves there for ever, and it is not silently skipped.
+   * No machine of the new side is available: the migration is rolled back after four soak times,
+   * and the rollback is recorded in the history.
    */
   @ParameterizedTest
   @EnumSource(
       value = Fault.class,
-      names = {"NONE", "HOLDER_ENDS"})
+      names = {"NONE", "OWNER_CRASHES"})
   void unavailableNewSideCausesRollback(Fault fault) throws MalformedException {
     SimCluster cluster = new SimCluster(53, Policy.DEFAULT, Size.FLEET);
     cluster.cloud.refused.addAll(List.of("b", "c"));
@@ -227,7 +228,10 @@
     assertThat(cluster.checks.broken).isEmpty();
   }
 
-  /** Two operators at once: one request at a time, and each step is in the history. */
+  /**
+   * A paused migration stays in its phase; resumed, it completes with the definition that it
+   * started with, although the document has changed.
+   */
   @Test
   void pauseStopsStepsAndResumeContinuesThem() throws MalformedException {
     SimCluster cluster = startMigration(54, "pause");
@@ -238,8 +242,8 @@
     request(cluster, MigrationLedger.Request.RESUME);
     cluster.put("migration", DOCUMENT.formatted("back").replace("\"b\", \"c\"", "\"c\""));
     cluster.clock.runUntil(START_MS + 500_000);
-    assertThat(phase(cluster)).as("by the document that it began with").isEqualTo("settled");
-    assertAllReplicasOn(cluster, false);
+    assertThat(phase(cluster)).as("with the definition at the start").isEqualTo("settled");
+    assertReplicasOnSide(cluster, false);
     assertThat(cluster.checks.broken).isEmpty();
   }
 }
