--- a/src/main/java/dunlincroft/admission/Admission.java
+++ b/src/main/java/dunlincroft/admission/Admission.java
@@ -17,9 +17,9 @@
 /**
  * Admission control: decides which submissions are accepted while more arrive than the write rate
  * of the state service allows. All controllers exchange their load and compute the same {@link
- * CalendarDocument} from it; each admits its own part. A refused submission is told when to retry;
- * that reservation is known to all controllers, so the retry is recognised at any of them. No
- * submission is queued here: each is answered at once.
+ * Plan} from it; each admits its own part. A refused submission is told when to retry; that
+ * reservation is known to all controllers, so the retry is recognised at any of them. No submission
+ * is queued here: each is answered at once.
  *
  * <p>This class only decides when a submission is tried. Whether a job is accepted is decided by a
  * guarded write. All times are in milliseconds of one monotonic clock. No I/O is done here.
