--- a/src/test/java/dunlincroft/sim/AliveTest.java
+++ b/src/test/java/dunlincroft/sim/AliveTest.java
@@ -26,12 +26,12 @@
   /** What a cluster must show once all is over. */
   static void holds(SimCluster cluster) {
     cluster.clock.runUntil(600_000);
-    assertThat(cluster.checks.broken).isEmpty();
-    assertThat(cluster.checks.toldFinal).as("every job ends").hasSize(cluster.jobs());
+    assertThat(cluster.checks.violations).isEmpty();
+    assertThat(cluster.checks.finalStates).as("every job ends").hasSize(cluster.submittedJobs());
     Set<String> ghosts = new HashSet<>();
     cluster
         .state
-        .under("d/blocks/")
+        .dataUnder("d/blocks/")
         .values()
         .forEach(block -> block.path("hosts").fieldNames().forEachRemaining(ghosts::add));
     ghosts.removeAll(cluster.cloud.machines.keySet());
@@ -40,12 +40,12 @@
 
   static SimCluster busy(long seed, Size size) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, size);
-    cluster.checks.troublesOver(AT_MS + 80_000);
+    cluster.checks.setFaultsEnd(AT_MS + 80_000);
     Random random = new Random(seed);
     for (int i = 0; i < 80; i++) {
       JobSpec spec = RulesTest.job(random, i);
       long cancelAfter = spec.isService() ? 200_000 : 0;
-      cluster.clock.after(5000 + 200L * i, () -> cluster.user(spec, cancelAfter));
+      cluster.clock.after(5000 + 200L * i, () -> cluster.submitAndFollow(spec, cancelAfter));
     }
     cluster.clock.runUntil(AT_MS);
     return cluster;
@@ -55,14 +55,14 @@
   static Set<String> whole(SimCluster cluster, List<SimWorker> on) {
     Set<String> refs = new HashSet<>();
     on.forEach(worker -> refs.addAll(services(worker)));
-    refs.removeIf(ref -> cluster.checks.running(ref) < cluster.uploaded(ref).taskCount());
+    refs.removeIf(ref -> cluster.checks.running(ref) < cluster.specOf(ref).taskCount());
     return refs;
   }
 
   private static Set<String> services(SimWorker worker) {
     Set<String> refs = new HashSet<>();
     for (SimWorker.Task task : worker.tasks.values()) {
-      if (task.on() && task.spec.isService()) {
+      if (task.isActive() && task.spec.isService()) {
         refs.add(task.spec.ref());
       }
     }
@@ -98,7 +98,7 @@
       throws MalformedException {
     Size size = new Size(controllers, 60, 80, 8, 8, 80, reportS);
     SimCluster cluster = busy(seed, size);
-    int holder = cluster.nodeIndex(cluster.holderName());
+    int holder = cluster.nodeIndex(cluster.ownerName());
     for (int node = 0, left = down; node < controllers; node++) {
       if (node != holder && left-- > 0) {
         cluster.crash(node, 90_000);
@@ -108,20 +108,21 @@
     List<SimWorker> deaf = fullest(cluster, 5);
     Set<String> hit = whole(cluster, deaf);
     // The other team's limit is full: what it has lost room of waits for other work of its own.
-    hit.removeIf(ref -> !cluster.uploaded(ref).team().equals("blue"));
-    deaf.forEach(worker -> worker.deafen(120_000));
+    hit.removeIf(ref -> !cluster.specOf(ref).team().equals("blue"));
+    deaf.forEach(worker -> worker.loseInbound(120_000));
     assertThat(hit).hasSizeGreaterThan(5);
     long third = 0;
     while (third == 0) {
       cluster.clock.runUntil(cluster.clock.now() + 100);
-      if (deaf.stream().allMatch(worker -> worker.gone || worker.unanswered.size() >= 3)) {
+      if (deaf.stream()
+          .allMatch(worker -> worker.terminated || worker.unansweredHeartbeatTimes.size() >= 3)) {
         third = cluster.clock.now();
       }
     }
-    assertThat(cluster.holderName()).as("no fault of the holder's").isEqualTo("n" + holder);
+    assertThat(cluster.ownerName()).as("no fault of the holder's").isEqualTo("n" + holder);
     cluster.clock.runUntil(third + 5000);
     int up = hit.stream().mapToInt(ref -> cluster.checks.runningElsewhere(ref, deaf)).sum();
-    int all = hit.stream().mapToInt(ref -> cluster.uploaded(ref).taskCount()).sum();
+    int all = hit.stream().mapToInt(ref -> cluster.specOf(ref).taskCount()).sum();
     assertThat((double) up / all).isGreaterThanOrEqualTo(0.95);
     holds(cluster);
   }
@@ -131,9 +132,9 @@
   void aMachineThatIsDeafForAMomentIsKept() throws MalformedException {
     SimCluster cluster = busy(22, Size.FLEET);
     List<SimWorker> deaf = fullest(cluster, 5);
-    deaf.forEach(worker -> worker.deafen(2500));
+    deaf.forEach(worker -> worker.loseInbound(2500));
     cluster.clock.runUntil(AT_MS + 25_000);
-    assertThat(deaf).noneMatch(worker -> worker.gone);
+    assertThat(deaf).noneMatch(worker -> worker.terminated);
     holds(cluster);
   }
 
@@ -141,9 +142,9 @@
   @Test
   void whenNobodyHearsUsNoMachineIsToBlame() throws MalformedException {
     SimCluster cluster = busy(23, Size.FLEET);
-    cluster.cloud.machines.values().forEach(worker -> worker.deafen(9000));
+    cluster.cloud.machines.values().forEach(worker -> worker.loseInbound(9000));
     cluster.clock.runUntil(AT_MS + 14_000);
-    assertThat(cluster.cloud.tasksReleased).isZero();
+    assertThat(cluster.cloud.tasksLostToRelease).isZero();
     holds(cluster);
   }
 
@@ -155,42 +156,43 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void lateCopiesAreNoSignOfLife(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
-    cluster.checks.troublesOver(180_000);
-    cluster.copies = 0.3;
+    cluster.checks.setFaultsEnd(180_000);
+    cluster.heartbeatCopyShare = 0.3;
     Random random = new Random(seed);
     for (int i = 0; i < 80; i++) {
       JobSpec spec = RulesTest.job(random, i);
-      cluster.clock.after(5000 + 400L * i, () -> cluster.user(spec, spec.isService() ? 60_000 : 0));
+      cluster.clock.after(
+          5000 + 400L * i, () -> cluster.submitAndFollow(spec, spec.isService() ? 60_000 : 0));
     }
     for (int i = 0; i < 6; i++) {
       long at = 25_000 + 20_000L * i;
-      cluster.clock.after(at, () -> cluster.crashHolder(random.nextBoolean() ? 200 : 30_000));
+      cluster.clock.after(at, () -> cluster.crashOwner(random.nextBoolean() ? 200 : 30_000));
       cluster.clock.after(
           at + 5000, () -> fullest(cluster, 2).forEach(worker -> worker.restart(150)));
-      cluster.clock.after(at + 10_000, () -> cluster.takeBack(3));
+      cluster.clock.after(at + 10_000, () -> cluster.preemptSpotMachines(3));
     }
-    cluster.clock.after(150_000, () -> cluster.copies = 0);
+    cluster.clock.after(150_000, () -> cluster.heartbeatCopyShare = 0);
     holds(cluster);
-    assertThat(cluster.checks.ghosts).isEmpty();
+    assertThat(cluster.checks.returnedMachines).isEmpty();
   }
 
   /** A machine that is gone sounds alive at a new holder only to who believes copies. */
   @Test
   void aNewHolderStartsNothingOnAMachineKnownFromCopiesAlone() throws MalformedException {
     SimCluster cluster = busy(24, Size.FLEET);
-    cluster.copies = 1;
-    cluster.copiesWithinMs = 15_000;
+    cluster.heartbeatCopyShare = 1;
+    cluster.maxCopyDelayMs = 15_000;
     cluster.clock.runUntil(AT_MS + 20_000);
     List<SimWorker> dead = fullest(cluster, 6);
-    dead.forEach(SimWorker::die);
-    cluster.crashHolder(60_000);
+    dead.forEach(SimWorker::terminate);
+    cluster.crashOwner(60_000);
     int before = cluster.checks.starts;
     JobSpec many = RulesTest.simple("run-many", "blue", 300, 1);
-    cluster.user(many, 0);
+    cluster.submitAndFollow(many, 0);
     cluster.clock.runUntil(cluster.clock.now() + 12_000);
     assertThat(cluster.checks.starts).isGreaterThan(before);
-    assertThat(cluster.checks.recordedOn(dead, "run-many")).isZero();
-    cluster.copies = 0;
+    assertThat(cluster.checks.recordedTasksOn(dead, "run-many")).isZero();
+    cluster.heartbeatCopyShare = 0;
     holds(cluster);
   }
 
@@ -203,16 +205,15 @@
   void workersThatBeginAnewGoOn(long afterCrash) throws MalformedException {
     SimCluster cluster = busy(25, Size.FLEET);
     if (afterCrash >= 0) {
-      cluster.crashHolder(afterCrash % 200 == 0 ? 200 : 30_000);
+      cluster.crashOwner(afterCrash % 200 == 0 ? 200 : 30_000);
       cluster.clock.runUntil(cluster.clock.now() + afterCrash);
     }
     List<SimWorker> anew = fullest(cluster, 6);
     Set<String> hit = whole(cluster, anew);
     anew.forEach(worker -> worker.restart(100 + cluster.random.nextInt(300)));
     cluster.clock.runUntil(cluster.clock.now() + 9000);
-    assertThat(hit)
-        .allMatch(ref -> cluster.checks.running(ref) == cluster.uploaded(ref).taskCount());
-    assertThat(anew).as("kept").noneMatch(worker -> worker.gone);
+    assertThat(hit).allMatch(ref -> cluster.checks.running(ref) == cluster.specOf(ref).taskCount());
+    assertThat(anew).as("kept").noneMatch(worker -> worker.terminated);
     holds(cluster);
   }
 
@@ -221,16 +222,16 @@
   @ValueSource(longs = {6000, 25_000, 60_000})
   void aControllerAloneWithItsWorkersHoldsNobodyUp(long ms) throws MalformedException {
     SimCluster cluster = busy(26, Size.FLEET);
-    String alone = cluster.holderName();
-    cluster.cutHolderFromControllers(ms);
+    String alone = cluster.ownerName();
+    cluster.cutOwnerFromControllers(ms);
     JobSpec late = RulesTest.simple("run-late", "blue", 200, 1);
     // Its user comes to another one: connections to the one that is alone are reset only later.
-    cluster.connect(late.ref(), (cluster.nodeIndex(alone) + 1) % cluster.nodeCount());
-    cluster.clock.after(1000, () -> cluster.user(late, 0));
+    cluster.pinConnection(late.ref(), (cluster.nodeIndex(alone) + 1) % cluster.nodeCount());
+    cluster.clock.after(1000, () -> cluster.submitAndFollow(late, 0));
     cluster.clock.runUntil(AT_MS + 9000);
-    assertThat(cluster.holderName()).isNotEqualTo(alone);
+    assertThat(cluster.ownerName()).isNotEqualTo(alone);
     assertThat(cluster.checks.running("run-late")).isPositive();
-    assertThat(cluster.cloud.tasksReleased).isZero();
+    assertThat(cluster.cloud.tasksLostToRelease).isZero();
     holds(cluster);
   }
 
@@ -239,18 +240,18 @@
   @ValueSource(longs = {0, 50, 150, 250, 400, 600, 900, 1300, 1800, 2600})
   void backWithinAMomentInTheMiddleOfAnElection(long after) throws MalformedException {
     SimCluster cluster = busy(27, Size.FLEET);
-    cluster.crashHolder(100 + cluster.random.nextInt(300));
+    cluster.crashOwner(100 + cluster.random.nextInt(300));
     cluster.clock.runUntil(cluster.clock.now() + after);
     for (int node = 0; node < cluster.nodeCount(); node++) {
       cluster.crash(node, 100 + cluster.random.nextInt(300));
     }
     cluster.clock.runUntil(cluster.clock.now() + after / 2);
-    cluster.crashHolder(100);
+    cluster.crashOwner(100);
     fullest(cluster, 3).forEach(worker -> worker.restart(200));
     int before = cluster.checks.starts;
     cluster.clock.runUntil(cluster.clock.now() + 8000);
     assertThat(cluster.checks.starts).isGreaterThan(before);
-    assertThat(cluster.cloud.tasksReleased).isZero();
+    assertThat(cluster.cloud.tasksLostToRelease).isZero();
     holds(cluster);
   }
 
@@ -258,9 +259,9 @@
   @Test
   void anUnansweredJobIsFound() throws MalformedException {
     SimCluster cluster = busy(28, Size.FLEET);
-    cluster.checks.troublesOver(AT_MS);
+    cluster.checks.setFaultsEnd(AT_MS);
     cluster.state.outage(90_000);
     cluster.clock.runUntil(AT_MS + 80_000);
-    assertThat(cluster.checks.broken).anyMatch(what -> what.contains("has no answer for"));
+    assertThat(cluster.checks.violations).anyMatch(what -> what.contains("has no answer for"));
   }
 }
--- a/src/test/java/dunlincroft/sim/CalendarTest.java
+++ b/src/test/java/dunlincroft/sim/CalendarTest.java
@@ -46,8 +46,8 @@
     NONE(cluster -> {}),
     OWNER_CRASHES_TWICE(
         cluster -> {
-          cluster.crashHolder(30_000);
-          cluster.clock.after(1500, () -> cluster.crashHolder(200));
+          cluster.crashOwner(30_000);
+          cluster.clock.after(1500, () -> cluster.crashOwner(200));
         }),
     ALL_CRASH(cluster -> cluster.crashAll(200)),
     ALL_CRASH_REPEATEDLY(
@@ -56,17 +56,17 @@
             cluster.clock.after(700L * i, () -> cluster.crashAll(200));
           }
         }),
-    OWNER_PAUSES(cluster -> cluster.freezeHolder(40_000)),
-    ALL_PAUSE(cluster -> cluster.freezeAll(8000)),
-    OWNER_PARTITIONED_WITH_WORKERS(cluster -> cluster.cutHolderFromControllers(30_000)),
+    OWNER_PAUSES(cluster -> cluster.pauseOwner(40_000)),
+    ALL_PAUSE(cluster -> cluster.pauseAll(8000)),
+    OWNER_PARTITIONED_WITH_WORKERS(cluster -> cluster.cutOwnerFromControllers(30_000)),
     STATE_SERVICE_DOWN(cluster -> cluster.state.outage(20_000)),
-    STATE_SERVICE_SLOW(cluster -> cluster.slowState(30, 20_000)),
-    OWNER_PARTITIONED_FROM_WORKERS(cluster -> cluster.cutHolderFromWorkers(15_000)),
-    ZONE_PARTITIONED(cluster -> cluster.cutZone(cluster.zoneWithoutTheHolder(), 30_000)),
+    STATE_SERVICE_SLOW(cluster -> cluster.slowStateService(30, 20_000)),
+    OWNER_PARTITIONED_FROM_WORKERS(cluster -> cluster.cutOwnerFromWorkers(15_000)),
+    ZONE_PARTITIONED(cluster -> cluster.cutZone(cluster.zoneWithoutOwner(), 30_000)),
     DUPLICATES_AND_LOST_ANSWERS(
         cluster -> {
-          cluster.copies = 0.5;
-          cluster.cloud.machines.values().stream().limit(8).forEach(w -> w.deafen(20_000));
+          cluster.heartbeatCopyShare = 0.5;
+          cluster.cloud.machines.values().stream().limit(8).forEach(w -> w.loseInbound(20_000));
         });
 
     private final Consumer<SimCluster> injection;
@@ -84,20 +84,20 @@
   private static SimCluster clusterWithCalendar(long seed, String document, Policy policy)
       throws MalformedException {
     SimCluster cluster = new SimCluster(seed, policy, Size.FLEET);
-    cluster.put("calendar", document);
-    cluster.checks.window("simple", OPENS_MS, CUT_OFF_MS);
+    cluster.putDocument("calendar", document);
+    cluster.checks.restrictToWindow("simple", OPENS_MS, CUT_OFF_MS);
     Random random = new Random(seed);
     for (int i = 0; i < 40; i++) {
       JobSpec windowJob = RulesTest.simple("run-n" + i, "blue", 10, 1);
       JobSpec otherJob = RulesTest.job(random, i);
-      cluster.clock.after(3000 + 2500L * i, () -> cluster.user(windowJob, 0));
-      cluster.clock.after(3000 + 2500L * i, () -> cluster.user(otherJob, 0));
+      cluster.clock.after(3000 + 2500L * i, () -> cluster.submitAndFollow(windowJob, 0));
+      cluster.clock.after(3000 + 2500L * i, () -> cluster.submitAndFollow(otherJob, 0));
     }
     return cluster;
   }
 
   private static JsonNode phaseOfNight(SimCluster cluster) {
-    Map<String, JsonNode> nights = cluster.state.under("d/nights/");
+    Map<String, JsonNode> nights = cluster.state.dataUnder("d/nights/");
     return nights.get("night@2023-11-14").path("phase");
   }
 
@@ -109,20 +109,22 @@
     cluster.clock.after(CUT_OFF_MS - 8000, () -> fault.injection.accept(cluster));
     // More work than the cluster has capacity for, so that tasks wait at any time.
     JobSpec largeJob = RulesTest.simple("run-many", "blue", 6000, 1);
-    cluster.clock.after(20_000, () -> cluster.user(largeJob, 0));
+    cluster.clock.after(20_000, () -> cluster.submitAndFollow(largeJob, 0));
     cluster.clock.runUntil(OPENS_MS);
-    assertThat(cluster.checks.windowed).as("starts before the opening").isZero();
+    assertThat(cluster.checks.windowClassStarts).as("starts before the opening").isZero();
     cluster.clock.runUntil(CUT_OFF_MS - 10_000);
-    assertThat(cluster.checks.windowed).as("starts while the night is open").isGreaterThan(300);
+    assertThat(cluster.checks.windowClassStarts)
+        .as("starts while the night is open")
+        .isGreaterThan(300);
     cluster.clock.runUntil(CUT_OFF_MS + 60_000);
     assertThat(cluster.checks.running("run-many")).isZero();
     assertThat(phaseOfNight(cluster).asText()).isEqualTo("closed");
     cluster.clock.runUntil(400_000);
-    assertThat(cluster.checks.broken).isEmpty();
-    assertThat(cluster.checks.toldFinal)
+    assertThat(cluster.checks.violations).isEmpty();
+    assertThat(cluster.checks.finalStates)
         .as("the jobs submitted in the first minute have completed")
         .containsKeys("run-n0", "run-n3", "run-n6");
-    assertThat(cluster.checks.toldFinal)
+    assertThat(cluster.checks.finalStates)
         .as("a job not completed at the cut-off waits for the next night")
         .doesNotContainKey("run-many");
     assertThat(cluster.checks.accepted).contains("run-many");
@@ -134,22 +136,23 @@
     SimCluster cluster = clusterWithCalendar(42, document("finish", "22:16"));
     cluster.clock.runUntil(OPENS_MS + 20_000);
     assertThat(phaseOfNight(cluster).asText()).isEqualTo("open");
-    cluster.put("calendar", document("stop", "22:15"));
+    cluster.putDocument("calendar", document("stop", "22:15"));
     cluster.crashAll(200);
     cluster.clock.runUntil(CUT_OFF_MS - 15_000);
     assertThat(phaseOfNight(cluster).asText()).isEqualTo("open");
     cluster.clock.runUntil(400_000);
     assertThat(phaseOfNight(cluster).asText()).isEqualTo("closed");
-    assertThat(cluster.checks.broken).isEmpty();
+    assertThat(cluster.checks.violations).isEmpty();
   }
 
   /** Without a document no night is recorded and no start is delayed. */
   @Test
   void withoutADocumentNoNightIsRecorded() throws MalformedException {
     SimCluster cluster = new SimCluster(43, Policy.DEFAULT, Size.FLEET);
-    cluster.clock.after(5000, () -> cluster.user(RulesTest.simple("run-a", "blue", 20, 1), 0));
+    cluster.clock.after(
+        5000, () -> cluster.submitAndFollow(RulesTest.simple("run-a", "blue", 20, 1), 0));
     cluster.clock.runUntil(60_000);
-    assertThat(cluster.state.under("d/nights/")).isEmpty();
-    assertThat(cluster.checks.toldFinal).containsKey("run-a");
+    assertThat(cluster.state.dataUnder("d/nights/")).isEmpty();
+    assertThat(cluster.checks.finalStates).containsKey("run-a");
   }
 }
--- a/src/test/java/dunlincroft/sim/CancelAtEndTest.java
+++ b/src/test/java/dunlincroft/sim/CancelAtEndTest.java
@@ -19,7 +19,7 @@
  * holder and at other nodes, milliseconds before and after: the report of the end, the write of the
  * job's end, and its answer.
  */
-class CancelAtEndTest extends MeetingScenario {
+class CancelAtEndTest extends OverlappingFaultsScenario {
   private static final int JOBS = 200;
 
   private static final long TROUBLES_MS = 80_000;
@@ -49,8 +49,8 @@
     reported.clear();
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     Random random = new Random(seed);
-    cluster.checks.troublesOver(TROUBLES_MS);
-    cluster.closeLooks.cancelAtEnd(0.2, TROUBLES_MS);
+    cluster.checks.setFaultsEnd(TROUBLES_MS);
+    cluster.requestBursts.cancelAtEnd(0.2, TROUBLES_MS);
     cluster.net.onSent =
         (path, body) -> {
           if (path.equals("/hello")) {
@@ -59,7 +59,7 @@
         };
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = RulesTest.simple("run-" + i, "blue", 1 + random.nextInt(3), 0.5);
-      cluster.clock.after(5000 + 250L * i, () -> cluster.user(spec, 0));
+      cluster.clock.after(5000 + 250L * i, () -> cluster.submitAndFollow(spec, 0));
     }
     return cluster;
   }
@@ -68,17 +68,17 @@
   private void report(SimCluster cluster, Random random, ObjectNode body) {
     for (JsonNode piece : body.path("pieces")) {
       String ref = piece.path("piece").asText().split("/")[0];
-      int ended = cluster.checks.completed.getOrDefault(ref, Set.of()).size();
-      boolean last = ended == cluster.uploaded(ref).taskCount();
+      int ended = cluster.checks.completedTasks.getOrDefault(ref, Set.of()).size();
+      boolean last = ended == cluster.specOf(ref).taskCount();
       if (last && piece.path("cause").asText().equals("done") && reported.add(ref)) {
         boolean there = random.nextBoolean();
         int node = there ? holderOf(cluster, ref) : random.nextInt(cluster.nodeCount());
-        JobSpec spec = cluster.uploaded(ref);
+        JobSpec spec = cluster.specOf(ref);
         long offset = random.nextInt(WRITTEN_MS);
         if (node >= 0) {
           atHolder += there ? 1 : 0;
           elsewhere += there ? 0 : 1;
-          cluster.clock.after(offset, () -> cluster.closeLooks.meetEnd(node, spec));
+          cluster.clock.after(offset, () -> cluster.requestBursts.cancelNearEnd(node, spec));
         }
       }
     }
@@ -86,23 +86,23 @@
 
   /** The node that runs a job, by the records; -1: its end is recorded. */
   private static int holderOf(SimCluster cluster, String ref) {
-    JsonNode job = cluster.state.under("d/jobs/" + ref).get("");
+    JsonNode job = cluster.state.dataUnder("d/jobs/" + ref).get("");
     if (job == null || job.has("status")) {
       return -1;
     }
     String shard = job.path("shard").asText();
     return cluster.nodeIndex(
-        cluster.state.under("d/shards/" + shard).get("").path("holder").asText());
+        cluster.state.dataUnder("d/shards/" + shard).get("").path("holder").asText());
   }
 
   /** Plays a day to its end and counts what met on it. */
   private void play(SimCluster cluster) {
-    holds(cluster, END_MS);
-    endsOvertaken += cluster.state.endsOvertaken;
-    cancelsOvertaken += cluster.state.cancelsOvertaken;
-    for (String ref : cluster.checks.askedCancel) {
-      boolean ended = cluster.checks.completed.getOrDefault(ref, Set.of()).size() > 0;
-      boolean done = cluster.checks.toldFinal.get(ref).equals("done");
+    runAndVerify(cluster, END_MS);
+    endsOvertaken += cluster.state.rejectedEnds;
+    cancelsOvertaken += cluster.state.rejectedCancels;
+    for (String ref : cluster.checks.cancelRequested) {
+      boolean ended = cluster.checks.completedTasks.getOrDefault(ref, Set.of()).size() > 0;
+      boolean done = cluster.checks.finalStates.get(ref).equals("done");
       answeredDone += done ? 1 : 0;
       answeredWithdrawn += ended && !done ? 1 : 0;
     }
@@ -141,7 +141,7 @@
             if (reported.size() > before && cluster.clock.now() > next[0] && changes[0] < 5) {
               changes[0]++;
               next[0] = cluster.clock.now() + 9000;
-              cluster.clock.after(changes[0] * 11L, () -> cluster.crashHolder(away));
+              cluster.clock.after(changes[0] * 11L, () -> cluster.crashOwner(away));
             }
           };
       play(cluster);
--- a/src/test/java/dunlincroft/sim/CancelChecksTest.java
+++ b/src/test/java/dunlincroft/sim/CancelChecksTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The checks of cancellations find planted faults. */
-class CancelChecksTest extends MeetingScenario {
+class CancelChecksTest extends OverlappingFaultsScenario {
   /** A job that was cancelled, and whose user has been told. */
   private JobSpec cancelled(SimCluster cluster) {
     JobSpec spec = RulesTest.simple("run-cancelled", "blue", 2, 1, 60, 0);
-    cluster.user(spec, 8000);
-    while (!cluster.checks.toldCancelled.containsKey(spec.ref())) {
+    cluster.submitAndFollow(spec, 8000);
+    while (!cluster.checks.cancelConfirmedAt.containsKey(spec.ref())) {
       cluster.clock.runUntil(cluster.clock.now() + 10);
     }
     return spec;
@@ -30,7 +30,7 @@
   /** Plants a start, under the highest token there is. */
   private static void plant(SimCluster cluster, SimWorker worker, JobSpec spec) {
     List<WorkerOrder> orders = List.of(WorkerOrder.run(spec.ref() + "/0", 7));
-    ObjectNode body = WorkerOrder.body(1L << 40, orders).put("tenure", worker.tenure());
+    ObjectNode body = WorkerOrder.body(1L << 40, orders).put("tenure", worker.session());
     Env.Call call =
         new Env.Call(
             worker.address,
@@ -45,59 +45,63 @@
   @ParameterizedTest
   @ValueSource(longs = {200, 4500, 20_000})
   void startsAfterTheWordAreFound(long afterMs) throws MalformedException {
-    SimCluster cluster = busy(1);
-    cluster.clock.runUntil(AT_MS);
+    SimCluster cluster = busyCluster(1);
+    cluster.clock.runUntil(FAULTS_AT_MS);
     JobSpec spec = cancelled(cluster);
     SimWorker worker = cluster.cloud.machines.firstEntry().getValue();
-    cluster.clock.runUntil(cluster.checks.toldCancelled.get(spec.ref()) + afterMs);
+    cluster.clock.runUntil(cluster.checks.cancelConfirmedAt.get(spec.ref()) + afterMs);
     plant(cluster, worker, spec);
     cluster.clock.runUntil(cluster.clock.now() + 1000);
-    assertThat(cluster.checks.cancelledStarts.leftAfter).isOne();
-    assertThat(cluster.checks.broken)
-        .filteredOn(what -> what.contains(CancelledStarts.RULE))
+    assertThat(cluster.checks.startsAfterCancellation.sentAfterConfirmation).isOne();
+    assertThat(cluster.checks.violations)
+        .filteredOn(what -> what.contains(StartsAfterCancellation.RULE))
         .hasSize(afterMs > Constants.MAX_STALENESS_MS ? 1 : 0);
   }
 
   /** An order that had left before is on its way: allowed, and counted. */
   @Test
   void startsInFlightAreCounted() throws MalformedException {
-    SimCluster cluster = busy(1);
-    cluster.clock.runUntil(AT_MS);
+    SimCluster cluster = busyCluster(1);
+    cluster.clock.runUntil(FAULTS_AT_MS);
     JobSpec spec = RulesTest.simple("run-cancelled", "blue", 2, 1, 60, 0);
-    cluster.user(spec, 3000);
+    cluster.submitAndFollow(spec, 3000);
     SimWorker worker = cluster.cloud.machines.firstEntry().getValue();
-    cluster.clock.runUntil(AT_MS + 2000);
-    cluster.net.late.byMs = 9000;
-    cluster.net.late.commands = (from, to, body) -> body.path("fence").asLong() == 1L << 40;
+    cluster.clock.runUntil(FAULTS_AT_MS + 2000);
+    cluster.net.delayedCommands.fixedDelayMs = 9000;
+    cluster.net.delayedCommands.commands =
+        (from, to, body) -> body.path("fence").asLong() == 1L << 40;
     plant(cluster, worker, spec);
-    cluster.clock.runUntil(AT_MS + 12_000);
-    assertThat(cluster.net.late.arrivals).hasSize(1);
-    assertThat(cluster.checks.cancelledStarts.inFlight).isOne();
-    assertThat(cluster.checks.broken).isEmpty();
+    cluster.clock.runUntil(FAULTS_AT_MS + 12_000);
+    assertThat(cluster.net.delayedCommands.arrivals).hasSize(1);
+    assertThat(cluster.checks.startsAfterCancellation.inFlight).isOne();
+    assertThat(cluster.checks.violations).isEmpty();
   }
 
   /** Cancelled tasks of a machine that nobody reaches and that hung; planted: without a lease. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void cancelledTasksThatGoOnAfterAHangAreFound(boolean keepsTasks) throws MalformedException {
-    SimCluster cluster = busy(2);
-    cluster.clock.runUntil(AT_MS);
-    List<JobSpec> running = cluster.runLong();
+    SimCluster cluster = busyCluster(2);
+    cluster.clock.runUntil(FAULTS_AT_MS);
+    List<JobSpec> running = cluster.longRunningJobs();
     List<SimWorker> out =
-        running.stream().flatMap(spec -> cluster.checks.machines(spec.ref()).stream()).toList();
-    out.forEach(worker -> worker.keepsTasks = keepsTasks);
-    out.forEach(worker -> cluster.cutOff(worker, 70_000));
+        running.stream()
+            .flatMap(spec -> cluster.checks.machinesRunning(spec.ref()).stream())
+            .toList();
+    out.forEach(worker -> worker.keepsTasksAfterLease = keepsTasks);
+    out.forEach(worker -> cluster.cutWorkerFromControllers(worker, 70_000));
     cluster.cutCloud(70_000);
-    cluster.cancelNow(12, 30_000);
-    cluster.clock.runUntil(AT_MS + 29_000);
-    assertThat(out.stream().flatMap(worker -> worker.tasks.values().stream()).filter(Task::on))
+    cluster.cancelRunningJobs(12, 30_000);
+    cluster.clock.runUntil(FAULTS_AT_MS + 29_000);
+    assertThat(
+            out.stream().flatMap(worker -> worker.tasks.values().stream()).filter(Task::isActive))
         .as("cancelled tasks of hanging machines")
-        .anyMatch(task -> cluster.checks.toldCancelled.containsKey(task.spec.ref()));
-    cluster.clock.runUntil(AT_MS + 60_000);
+        .anyMatch(task -> cluster.checks.cancelConfirmedAt.containsKey(task.spec.ref()));
+    cluster.clock.runUntil(FAULTS_AT_MS + 60_000);
     if (keepsTasks) {
-      assertThat(cluster.checks.broken).anyMatch(what -> what.contains("ran_cancelled"));
+      assertThat(cluster.checks.violations).anyMatch(what -> what.contains("ran_cancelled"));
     } else {
-      assertThat(cluster.checks.broken).isEmpty();
+      assertThat(cluster.checks.violations).isEmpty();
     }
   }
 }
--- a/src/test/java/dunlincroft/sim/CancelDuringHandoverTest.java
+++ b/src/test/java/dunlincroft/sim/CancelDuringHandoverTest.java
@@ -5,8 +5,8 @@
 import dunlincroft.operators.Policy;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.MalformedException;
-import dunlincroft.sim.HandChanges.Change;
-import dunlincroft.sim.HandChanges.Step;
+import dunlincroft.sim.OwnershipChanges.Change;
+import dunlincroft.sim.OwnershipChanges.Step;
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -17,7 +17,7 @@
  * Jobs are cancelled, through every controller, in the moments in which the work of one controller
  * changes hands: when it ends, and when it is handed on as planned.
  */
-class CancelDuringHandoverTest extends MeetingScenario {
+class CancelDuringHandoverTest extends OverlappingFaultsScenario {
   /** After a step, users cancel at these moments. */
   private static final long[] OFFSETS_MS = {0, 2, 5, 10, 20, 40, 80, 160, 320};
 
@@ -27,23 +27,23 @@
   /** An order, and the fetch of the image that it begins. */
   private static final long ON_ITS_WAY_MS = 2500;
 
-  private CancelLog log;
-  private HandChanges hands;
+  private CancellationLog log;
+  private OwnershipChanges hands;
   private int next;
   private int nextNode;
 
   /** The busy cluster, with more jobs, and all that is done in it watched. */
   private SimCluster watched(long seed, Policy policy) throws MalformedException {
-    SimCluster cluster = busy(seed, policy);
+    SimCluster cluster = busyCluster(seed, policy);
     Random random = new Random(seed + 1000);
     for (int i = 100; i < 300; i++) {
       JobSpec spec = PairsTest.job(random, i);
       jobs.add(spec);
       long at = 12_000 + 200L * (i - 100);
-      cluster.clock.after(at, () -> cluster.user(spec, spec.isService() ? 150_000 : 0));
+      cluster.clock.after(at, () -> cluster.submitAndFollow(spec, spec.isService() ? 150_000 : 0));
     }
-    log = new CancelLog(cluster);
-    hands = new HandChanges(cluster);
+    log = new CancellationLog(cluster);
+    hands = new OwnershipChanges(cluster);
     return cluster;
   }
 
@@ -52,10 +52,10 @@
     for (int i = 0; i < jobs.size(); i++) {
       JobSpec spec = jobs.get((next + i) % jobs.size());
       String ref = spec.ref();
-      boolean open = log.open(ref) && !cluster.checks.askedCancel.contains(ref);
+      boolean open = log.isOpen(ref) && !cluster.checks.cancelRequested.contains(ref);
       if (open && (shard == null || shard.equals(log.shardOf(ref)))) {
         next = (next + i + 1) % jobs.size();
-        cluster.connect(ref, nextNode++ % cluster.nodeCount());
+        cluster.pinConnection(ref, nextNode++ % cluster.nodeCount());
         cluster.cancel(spec);
         return;
       }
@@ -72,7 +72,7 @@
   private void cancelAtSteps(SimCluster cluster) {
     hands.listeners.add(
         (step, change) -> {
-          if (step != Step.PLACES) {
+          if (step != Step.FIRST_PLACEMENT) {
             cancelAfter(cluster, change.shard);
           }
         });
@@ -97,20 +97,21 @@
     long reading = 0;
     long placing = 0;
     for (Change each : changes) {
-      before += log.told(each.shard, each.lastOldWriteAt, each.recordedAt);
-      reading += log.told(each.shard, each.recordedAt + 1, each.firstNewWriteAt);
-      placing += log.told(each.shard, each.firstNewWriteAt + 1, each.firstPlacementAt);
+      before += log.confirmedCancellations(each.shard, each.lastOldWriteAt, each.recordedAt);
+      reading += log.confirmedCancellations(each.shard, each.recordedAt + 1, each.firstNewWriteAt);
+      placing +=
+          log.confirmedCancellations(each.shard, each.firstNewWriteAt + 1, each.firstPlacementAt);
     }
     return new Met(before, reading, placing);
   }
 
   private static String firstShard(SimCluster cluster) {
-    return cluster.state.under("d/leases/").get("one").path("holders").path(0).asText();
+    return cluster.state.dataUnder("d/leases/").get("one").path("holders").path(0).asText();
   }
 
   /** No start was recorded after a cancellation, and none but those on their way came about. */
   private void nothingStarts(SimCluster cluster) {
-    assertThat(log.startsAfter).isEmpty();
+    assertThat(log.startsAfterCancellation).isEmpty();
     assertThat(cluster.checks.startedAfterCancelMs)
         .as("orders that were on their way")
         .allMatch(ms -> ms < ON_ITS_WAY_MS);
@@ -123,18 +124,18 @@
       throws MalformedException {
     SimCluster cluster =
         watched(seed, seed % 2 == 0 ? Policy.parse("holder_machines = 12;") : Policy.DEFAULT);
-    cluster.clock.runUntil(AT_MS);
+    cluster.clock.runUntil(FAULTS_AT_MS);
     String shard = firstShard(cluster);
     cancelAtSteps(cluster);
-    cluster.crashHolder(awayMs);
-    cluster.clock.runUntil(AT_MS + offsetMs);
+    cluster.crashOwner(awayMs);
+    cluster.clock.runUntil(FAULTS_AT_MS + offsetMs);
     cancelFor(cluster, shard, 20, EACH_MS);
-    cluster.clock.runUntil(AT_MS + 30_000);
+    cluster.clock.runUntil(FAULTS_AT_MS + 30_000);
     Met met = met(hands.changes.stream().filter(each -> each.shard.equals(shard)).toList());
     assertThat(met.beforeTheRecord).as("told before the record").isPositive();
     assertThat(met.beforeTheFirstWrite).as("told before the first write").isPositive();
     assertThat(met.all()).as("told in the change of hands").isGreaterThan(4);
-    holds(cluster);
+    runAndVerify(cluster);
     nothingStarts(cluster);
   }
 
@@ -144,30 +145,30 @@
   void cancelledWhileAShardGoesBack(long seed) throws MalformedException {
     SimCluster cluster = watched(seed, Policy.parse("holder_machines = 6;"));
     int[] given = new int[1];
-    cluster.clock.runUntil(AT_MS);
+    cluster.clock.runUntil(FAULTS_AT_MS);
     String shard = firstShard(cluster);
-    assertThat(cluster.state.under("d/leases/").get("one").path("holders")).hasSize(5);
-    cluster.crashHolder(5000);
-    cluster.clock.runUntil(AT_MS + 15_900);
+    assertThat(cluster.state.dataUnder("d/leases/").get("one").path("holders")).hasSize(5);
+    cluster.crashOwner(5000);
+    cluster.clock.runUntil(FAULTS_AT_MS + 15_900);
     // Writes are some tens of milliseconds on their way: users are told of others meanwhile.
-    cluster.slowState(10, 2500);
+    cluster.slowStateService(10, 2500);
     cancelAtSteps(cluster);
-    hands.givings.add(
+    hands.transferListeners.add(
         from -> {
           if (given[0]++ % 3 == 0) {
             cluster.clock.after(3, () -> cancelOne(cluster, from));
           }
         });
     cancelFor(cluster, shard, 80, 15);
-    cluster.clock.runUntil(AT_MS + 60_000);
+    cluster.clock.runUntil(FAULTS_AT_MS + 60_000);
     Met met = met(hands.changes.stream().filter(each -> each.planned).toList());
-    assertThat(hands.blocksGiven).as("blocks handed on").isGreaterThan(10);
-    assertThat(hands.sharesGiven).as("shares handed on").isGreaterThan(10);
+    assertThat(hands.blocksTransferred).as("blocks handed on").isGreaterThan(10);
+    assertThat(hands.sharesTransferred).as("shares handed on").isGreaterThan(10);
     assertThat(given[0]).as("handed on while users cancel").isGreaterThan(5);
     assertThat(met.beforeTheRecord + met.beforeTheFirstWrite)
         .as("told between the last write of the old holder and the first of the new one")
         .isGreaterThan(3);
-    holds(cluster);
+    runAndVerify(cluster);
     nothingStarts(cluster);
   }
 }
--- a/src/test/java/dunlincroft/sim/CloseLooksTest.java
+++ b/src/test/java/dunlincroft/sim/CloseLooksTest.java
@@ -17,14 +17,14 @@
  * Users ask at all nodes within milliseconds, and repeat the submission, right after a job was
  * accepted, ended or confirmed as cancelled; some cancel at once. No node answers anything older.
  */
-class CloseLooksTest extends MeetingScenario {
+class CloseLooksTest extends OverlappingFaultsScenario {
   private static final long ALL_DAY_MS = 420_000;
 
   /** A busy day on which users look closely all the time. */
   private SimCluster watched(long seed) throws MalformedException {
     jobs.clear();
-    SimCluster cluster = busy(seed);
-    cluster.closeLooks.look(ALL_DAY_MS);
+    SimCluster cluster = busyCluster(seed);
+    cluster.requestBursts.enableFor(ALL_DAY_MS);
     return cluster;
   }
 
@@ -37,22 +37,22 @@
     "5,HOLDER_STANDS_STILL",
     "6,ALL_BACK_AT_ONCE"
   })
-  void noNodeAnswersAnythingOlder(long seed, Trouble trouble) throws MalformedException {
+  void noNodeAnswersAnythingOlder(long seed, InjectedFault trouble) throws MalformedException {
     SimCluster cluster = watched(seed);
     // On every other day whoever lags must read everything again.
-    cluster.state.keep = seed % 2 == 0 ? 60 : cluster.state.keep;
+    cluster.state.maxChanges = seed % 2 == 0 ? 60 : cluster.state.maxChanges;
     cluster.clock.runUntil(15_000);
     if (trouble != null) {
       for (int i = 0; i < 5; i++) {
-        cluster.clock.after(12_000L * i, () -> trouble.strike(cluster, 5000));
+        cluster.clock.after(12_000L * i, () -> trouble.inject(cluster, 5000));
       }
     }
-    cancelSome(cluster, 4, 2000);
-    cluster.clock.runUntil(AT_MS + 90_000);
-    assertThat(cluster.closeLooks.looksAtAccepted).isGreaterThan(80);
-    assertThat(cluster.closeLooks.looksAtDone).isGreaterThan(20);
-    assertThat(cluster.closeLooks.looksAtWithdrawn).isGreaterThan(6);
-    holds(cluster, ALL_DAY_MS);
+    cancelEveryNth(cluster, 4, 2000);
+    cluster.clock.runUntil(FAULTS_AT_MS + 90_000);
+    assertThat(cluster.requestBursts.burstsAtAcceptance).isGreaterThan(80);
+    assertThat(cluster.requestBursts.burstsAtCompletion).isGreaterThan(20);
+    assertThat(cluster.requestBursts.burstsAtCancellation).isGreaterThan(6);
+    runAndVerify(cluster, ALL_DAY_MS);
   }
 
   /** The answer to a cancellation of a job that is partly done, which polls have told already. */
@@ -64,20 +64,21 @@
     for (long at = 20_000; at < 60_000; at += 500) {
       cluster.clock.runUntil(at);
       for (JobSpec spec : jobs) {
-        int done = cluster.checks.doneTold(spec.ref());
-        boolean open = !cluster.checks.toldFinal.containsKey(spec.ref());
+        int done = cluster.checks.maxDoneReported(spec.ref());
+        boolean open = !cluster.checks.finalStates.containsKey(spec.ref());
         if (open && done > 0 && done < spec.taskCount() && partly.add(spec.ref())) {
-          cluster.closeLooks.cancel(cluster.anyNode(), spec);
+          cluster.requestBursts.cancel(cluster.randomNode(), spec);
         }
       }
       // What is told of a job's tasks is asked for often: polls come each 5 s.
       jobs.stream()
           .filter(spec -> cluster.checks.accepted.contains(spec.ref()))
-          .filter(spec -> spec.taskCount() > 1 && !cluster.checks.toldFinal.containsKey(spec.ref()))
-          .forEach(spec -> cluster.closeLooks.ask(cluster.anyNode(), spec));
+          .filter(
+              spec -> spec.taskCount() > 1 && !cluster.checks.finalStates.containsKey(spec.ref()))
+          .forEach(spec -> cluster.requestBursts.query(cluster.randomNode(), spec));
     }
     assertThat(partly).as("cancelled with some tasks told as done").hasSizeGreaterThan(8);
-    holds(cluster, ALL_DAY_MS);
+    runAndVerify(cluster, ALL_DAY_MS);
   }
 
   /**
@@ -91,9 +92,9 @@
       SimCluster cluster = watched(seed);
       cluster.clock.runUntil(15_000);
       cluster.state.emptyBarriers = true;
-      cancelSome(cluster, 4, 2000);
-      cluster.clock.runUntil(AT_MS + 60_000);
-      cluster.checks.broken.forEach(each -> seen.add(each.split(" ")[1]));
+      cancelEveryNth(cluster, 4, 2000);
+      cluster.clock.runUntil(FAULTS_AT_MS + 60_000);
+      cluster.checks.violations.forEach(each -> seen.add(each.split(" ")[1]));
     }
     assertThat(seen).contains("forgotten:", "went_back:");
   }
@@ -104,15 +105,16 @@
    */
   @Test
   void aSmallerCountOfDoneTasksIsSeen() throws MalformedException {
-    SimCluster cluster = busy(1);
+    SimCluster cluster = busyCluster(1);
     cluster.clock.runUntil(15_000);
     JobSpec spec = jobs.get(0);
-    cluster.checks.told(spec, 200, answer(2), 14_000);
-    cluster.checks.told(spec, 200, answer(1), 14_900);
-    assertThat(cluster.checks.broken).as("asked before the larger count was told").isEmpty();
+    cluster.checks.onAnswer(spec, 200, answer(2), 14_000);
+    cluster.checks.onAnswer(spec, 200, answer(1), 14_900);
+    assertThat(cluster.checks.violations).as("asked before the larger count was told").isEmpty();
     cluster.clock.runUntil(16_000);
-    cluster.checks.told(spec, 200, answer(1), 15_500);
-    assertThat(cluster.checks.broken).anyMatch(what -> what.contains("fewer_done: " + spec.ref()));
+    cluster.checks.onAnswer(spec, 200, answer(1), 15_500);
+    assertThat(cluster.checks.violations)
+        .anyMatch(what -> what.contains("fewer_done: " + spec.ref()));
   }
 
   private static JsonNode answer(int done) {
--- a/src/test/java/dunlincroft/sim/DeafMachinesTest.java
+++ b/src/test/java/dunlincroft/sim/DeafMachinesTest.java
@@ -42,7 +42,7 @@
   void replicasAreRunningElsewhereSoon(long seed, int controllers, int down, double reportS)
       throws MalformedException {
     SimCluster cluster = AliveTest.busy(seed, new Size(controllers, 60, 80, 8, 8, 80, reportS));
-    int holder = cluster.nodeIndex(cluster.holderName());
+    int holder = cluster.nodeIndex(cluster.ownerName());
     for (int node = 0, left = down; node < controllers; node++) {
       if (node != holder && left-- > 0) {
         cluster.crash(node, 90_000);
@@ -52,14 +52,15 @@
     List<SimWorker> deaf = AliveTest.fullest(cluster, 5);
     Set<String> hit = AliveTest.whole(cluster, deaf);
     // The other team's limit is full: what it has lost room of waits for other work of its own.
-    hit.removeIf(ref -> !cluster.uploaded(ref).team().equals("blue"));
-    deaf.forEach(worker -> worker.deafen(120_000));
-    while (!deaf.stream().allMatch(worker -> worker.gone || worker.unanswered.size() >= 3)) {
+    hit.removeIf(ref -> !cluster.specOf(ref).team().equals("blue"));
+    deaf.forEach(worker -> worker.loseInbound(120_000));
+    while (!deaf.stream()
+        .allMatch(worker -> worker.terminated || worker.unansweredHeartbeatTimes.size() >= 3)) {
       cluster.clock.runUntil(cluster.clock.now() + 100);
     }
     cluster.clock.runUntil(cluster.clock.now() + WITHIN_MS);
     int up = hit.stream().mapToInt(ref -> cluster.checks.runningElsewhere(ref, deaf)).sum();
-    int all = hit.stream().mapToInt(ref -> cluster.uploaded(ref).taskCount()).sum();
+    int all = hit.stream().mapToInt(ref -> cluster.specOf(ref).taskCount()).sum();
     assertThat((double) up / all).isGreaterThanOrEqualTo(SHARE);
     // With seed 144 the other team has work at its limit for 640 s: it ends late by right.
     cluster.clock.runUntil(END_MS);
--- a/src/test/java/dunlincroft/sim/FastBootTest.java
+++ b/src/test/java/dunlincroft/sim/FastBootTest.java
@@ -18,7 +18,7 @@
  * at each step of that. No machine stays without a block, none is in two, none of its tasks runs
  * twice, and jobs go on.
  */
-class FastBootTest extends MeetingScenario {
+class FastBootTest extends OverlappingFaultsScenario {
   /** Where in the life of a new machine the leader ends. */
   private enum Step {
     RENTED,
@@ -44,22 +44,22 @@
 
   private Set<String> inBlocks() {
     Set<String> hosts = new HashSet<>();
-    for (JsonNode block : cluster.state.under("d/blocks/").values()) {
+    for (JsonNode block : cluster.state.dataUnder("d/blocks/").values()) {
       block.path("hosts").fieldNames().forEachRemaining(hosts::add);
     }
     return hosts;
   }
 
   private String leader() {
-    JsonNode leader = cluster.state.under("d/leader/").get("one");
+    JsonNode leader = cluster.state.dataUnder("d/leader/").get("one");
     return leader == null ? null : leader.path("name").asText();
   }
 
   private boolean at(Step step, SimWorker worker, boolean recorded) {
     return switch (step) {
       case RENTED -> !recorded;
-      case RECORDED -> recorded && worker.heardBy < 0;
-      case STARTED -> worker.tasks.values().stream().anyMatch(SimWorker.Task::on);
+      case RECORDED -> recorded && worker.firstContactedNode < 0;
+      case STARTED -> worker.tasks.values().stream().anyMatch(SimWorker.Task::isActive);
     };
   }
 
@@ -75,7 +75,7 @@
         leaked.add(worker.host);
       }
       String leader = leader();
-      if (now >= AT_MS && now < untilMs && now >= nextAt && leader != null) {
+      if (now >= FAULTS_AT_MS && now < untilMs && now >= nextAt && leader != null) {
         if (!known.contains(worker.host) && at(step, worker, recorded)) {
           met++;
           nextAt = now + 9000;
@@ -84,7 +84,7 @@
       }
       if (step != Step.STARTED || worker.tasks.isEmpty()) {
         // Machines from before are no newcomers.
-        if (now < AT_MS) {
+        if (now < FAULTS_AT_MS) {
           known.add(worker.host);
         }
       }
@@ -104,29 +104,31 @@
   })
   void theLeaderEndsAsNewMachinesComeUp(Step step, long seed, long awayMs)
       throws MalformedException {
-    cluster = busy(seed, Policy.parse(seed % 2 == 0 ? "holder_machines = 12;" : ""));
+    cluster = busyCluster(seed, Policy.parse(seed % 2 == 0 ? "holder_machines = 12;" : ""));
     cluster.cloud.bootMs = seed % 2 == 0 ? 1800 : 600;
-    cluster.cloud.answerMs = step != Step.RECORDED && seed % 3 == 0 ? 1000 : 0;
+    cluster.cloud.answerDelayMs = step != Step.RECORDED && seed % 3 == 0 ? 1000 : 0;
     for (int i = 0; i < 12; i++) {
       JobSpec more = RulesTest.simple("run-more-" + i, "blue", 16, 8);
-      long at = AT_MS - 2000 + 8000L * i;
-      cluster.clock.after(at, () -> cluster.user(more, 0));
-      cluster.clock.after(at + 4000, () -> cluster.takeBack(4));
+      long at = FAULTS_AT_MS - 2000 + 8000L * i;
+      cluster.clock.after(at, () -> cluster.submitAndFollow(more, 0));
+      cluster.clock.after(at + 4000, () -> cluster.preemptSpotMachines(4));
     }
-    watch(step, awayMs, AT_MS + 85_000);
-    cluster.clock.runUntil(AT_MS - 5000);
-    cluster.lateWrites(0.35, 90_000);
-    cancelSome(cluster, 4, 2500);
-    int before = cluster.cloud.hired();
-    cluster.clock.runUntil(AT_MS + 90_000);
+    watch(step, awayMs, FAULTS_AT_MS + 85_000);
+    cluster.clock.runUntil(FAULTS_AT_MS - 5000);
+    cluster.delayWrites(0.35, 90_000);
+    cancelEveryNth(cluster, 4, 2500);
+    int before = cluster.cloud.rentedMachines();
+    cluster.clock.runUntil(FAULTS_AT_MS + 90_000);
     assertThat(met).as("ends of leaders at this step of a new machine").isGreaterThan(2);
-    assertThat(cluster.cloud.hired() - before).as("machines rented meanwhile").isGreaterThan(30);
-    assertThat(cluster.net.lateAfterNewer).as("writes carried out late").isGreaterThan(20);
-    holdsOnceDone(cluster);
+    assertThat(cluster.cloud.rentedMachines() - before)
+        .as("machines rented meanwhile")
+        .isGreaterThan(30);
+    assertThat(cluster.net.executedAfterNewer).as("writes carried out late").isGreaterThan(20);
+    runUntilDoneAndVerify(cluster);
     assertThat(leaked).as("machines without a block").isEmpty();
     assertThat(inBlocks()).as("blocks and machines").isEqualTo(cluster.cloud.machines.keySet());
-    assertThat(cluster.cloud.unused())
-        .as("machines rented in vain of %d", cluster.cloud.hired())
-        .isLessThan(cluster.cloud.hired() / 6);
+    assertThat(cluster.cloud.unusedMachines())
+        .as("machines rented in vain of %d", cluster.cloud.rentedMachines())
+        .isLessThan(cluster.cloud.rentedMachines() / 6);
   }
 }
--- a/src/test/java/dunlincroft/sim/GapTest.java
+++ b/src/test/java/dunlincroft/sim/GapTest.java
@@ -30,22 +30,22 @@
   /** What happens beside it. */
   private enum Beside {
     NOTHING(cluster -> {}),
-    LINKS_REFUSED(cluster -> cluster.refuseLinks(DOWN_MS)),
+    LINKS_REFUSED(cluster -> cluster.refusePeerConnections(DOWN_MS)),
     CONFIRMERS_ARE_BACK_AT_ONCE(
         cluster -> {
           for (int node = 0; node < cluster.nodeCount(); node++) {
-            if (node != cluster.nodeIndex(cluster.holderName())) {
+            if (node != cluster.nodeIndex(cluster.ownerName())) {
               cluster.crash(node, 200);
             }
           }
         }),
     ONE_CONFIRMER_IS_BACK_AT_ONCE(
-        cluster -> cluster.crash((cluster.nodeIndex(cluster.holderName()) + 1) % 5, 200)),
-    HOLDER_STANDS_STILL(cluster -> cluster.freezeHolder(12_000)),
-    ALL_STAND_STILL(cluster -> cluster.freezeAll(5000)),
+        cluster -> cluster.crash((cluster.nodeIndex(cluster.ownerName()) + 1) % 5, 200)),
+    HOLDER_STANDS_STILL(cluster -> cluster.pauseOwner(12_000)),
+    ALL_STAND_STILL(cluster -> cluster.pauseAll(5000)),
     LINKS_LOSE_PACKETS(
-        cluster -> cluster.loseOnLinks(cluster.nodeIndex(cluster.holderName()), 0.3)),
-    REPORTS_COME_LATE(cluster -> cluster.lateReports(0.3, DOWN_MS));
+        cluster -> cluster.setPacketLoss(cluster.nodeIndex(cluster.ownerName()), 0.3)),
+    REPORTS_COME_LATE(cluster -> cluster.duplicateHeartbeats(0.3, DOWN_MS));
 
     private final Consumer<SimCluster> act;
 
@@ -63,13 +63,13 @@
 
   private SimCluster busy(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
-    cluster.checks.troublesOver(AT_MS + DOWN_AFTER_MS + DOWN_MS + 10_000);
+    cluster.checks.setFaultsEnd(AT_MS + DOWN_AFTER_MS + DOWN_MS + 10_000);
     Random random = new Random(seed);
     for (int i = 0; i < 120; i++) {
       JobSpec spec = RulesTest.job(random, i);
       if (spec.isService()) {
         services.add(spec);
-        cluster.clock.after(5000 + 100L * i, () -> cluster.user(spec, 0));
+        cluster.clock.after(5000 + 100L * i, () -> cluster.submitAndFollow(spec, 0));
       }
     }
     cluster.clock.runUntil(AT_MS);
@@ -97,13 +97,13 @@
   })
   void cancelledTasksAreGoneInTime(long seed, Beside beside) throws MalformedException {
     SimCluster cluster = busy(seed);
-    String holder = cluster.holderName();
+    String holder = cluster.ownerName();
     int answers = cluster.nodeIndex(holder);
     List<JobSpec> cancelled = services.subList(0, services.size() / 2);
     List<JobSpec> kept = services.subList(services.size() / 2, services.size());
     Set<JobSpec> up = whole(cluster, kept);
     assertThat(up).hasSizeGreaterThan(5);
-    cluster.refuseHolder(14_000);
+    cluster.refuseStateToOwner(14_000);
     for (int i = 0; i < cancelled.size(); i++) {
       JobSpec spec = cancelled.get(i);
       cluster.clock.after(400 + 50L * i, () -> cluster.cancel(spec));
@@ -113,11 +113,11 @@
     beside.act.accept(cluster);
     long told =
         cancelled.stream()
-            .filter(spec -> cluster.checks.toldCancelled.containsKey(spec.ref()))
+            .filter(spec -> cluster.checks.cancelConfirmedAt.containsKey(spec.ref()))
             .count();
     assertThat(told).as("confirmed by others in the gap").isGreaterThan(5);
     cluster.clock.runUntil(AT_MS + 20_000);
-    assertThat(cluster.holderName()).as("nobody could take over").isEqualTo(holder);
+    assertThat(cluster.ownerName()).as("nobody could take over").isEqualTo(holder);
     // While it stands still the others stand in for it, and go on, as they raise the fence.
     boolean others = beside == Beside.HOLDER_STANDS_STILL;
     assertThat(cluster.cloud.machines.values())
@@ -126,14 +126,14 @@
         .filteredOn(worker -> worker.renewedAt > AT_MS + 14_000)
         .hasSizeGreaterThan(5);
     cluster.clock.runUntil(AT_MS + DOWN_AFTER_MS + DOWN_MS);
-    assertThat(cluster.checks.broken).isEmpty();
+    assertThat(cluster.checks.violations).isEmpty();
     if (beside.handed()) {
       assertThat(whole(cluster, kept)).as("nobody else loses work").containsAll(up);
     }
     services.forEach(spec -> cluster.clock.after(100_000, () -> cluster.cancel(spec)));
     cluster.clock.runUntil(500_000);
-    assertThat(cluster.checks.broken).isEmpty();
-    assertThat(cluster.checks.toldFinal).hasSize(cluster.jobs());
+    assertThat(cluster.checks.violations).isEmpty();
+    assertThat(cluster.checks.finalStates).hasSize(cluster.submittedJobs());
   }
 
   /** An outage in which nobody is cancelled unknown to the holder kills no work. */
@@ -152,7 +152,7 @@
     cluster.state.outage(ms);
     cluster.clock.runUntil(AT_MS + 2000 + ms + 500);
     assertThat(whole(cluster, services)).containsAll(up);
-    assertThat(cluster.checks.broken).isEmpty();
+    assertThat(cluster.checks.violations).isEmpty();
   }
 
   /** The check can fail: tasks of jobs whose cancellation nobody ever reads stay. */
@@ -160,9 +160,9 @@
   void theCheckFindsTasksThatOutlastTheirTime() throws MalformedException {
     SimCluster cluster = busy(5);
     JobSpec spec = whole(cluster, services).iterator().next();
-    cluster.checks.askedCancel.add(spec.ref());
-    cluster.checks.told(spec, 200, "withdrawn", AT_MS);
+    cluster.checks.cancelRequested.add(spec.ref());
+    cluster.checks.onAnswer(spec, 200, "withdrawn", AT_MS);
     cluster.clock.runUntil(AT_MS + 50_000);
-    assertThat(cluster.checks.broken).anyMatch(what -> what.contains("ran_cancelled"));
+    assertThat(cluster.checks.violations).anyMatch(what -> what.contains("ran_cancelled"));
   }
 }
--- a/src/test/java/dunlincroft/sim/HeldReportsTest.java
+++ b/src/test/java/dunlincroft/sim/HeldReportsTest.java
@@ -8,17 +8,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Old reports come when another has begun to act, at all controllers or at the new holder. */
-class HeldReportsTest extends MeetingScenario {
+class HeldReportsTest extends OverlappingFaultsScenario {
   /** Changes of the holder, some of them to another and some to its own next life. */
   private static void changeHands(SimCluster cluster, int number, long eachMs) {
     for (int i = 0; i < number; i++) {
       boolean atOnce = i % 2 == 1;
-      cluster.clock.after(eachMs * i, () -> cluster.crashHolder(atOnce ? 200 : 9000));
+      cluster.clock.after(eachMs * i, () -> cluster.crashOwner(atOnce ? 200 : 9000));
     }
   }
 
   private SimCluster held(long seed) throws MalformedException {
-    return busy(seed, seed % 2 == 0 ? Policy.parse("holder_machines = 12;") : Policy.DEFAULT);
+    return busyCluster(
+        seed, seed % 2 == 0 ? Policy.parse("holder_machines = 12;") : Policy.DEFAULT);
   }
 
   /** Copies of reports reach every controller within the second in which a new one begins. */
@@ -28,19 +29,20 @@
       throws MalformedException {
     SimCluster cluster = held(seed);
     cluster.clock.runUntil(20_000);
-    cluster.heldReports.copyForNext(0.4, 90_000);
+    cluster.delayedHeartbeats.copyForNextOwner(0.4, 90_000);
     cluster.clock.after(5000, () -> changeHands(cluster, 6, eachMs));
-    cluster.clock.after(12_000, () -> Trouble.fullest(cluster).forEach(each -> each.hang(22_000)));
-    cluster.clock.after(16_000, () -> Trouble.MACHINES_BEGIN_ANEW.strike(cluster, 0));
-    cluster.clock.after(30_000, () -> cluster.takeBack(4));
-    cluster.clock.after(8000, () -> cancelSome(cluster, 4, 2500));
+    cluster.clock.after(
+        12_000, () -> InjectedFault.busiestMachines(cluster).forEach(each -> each.hang(22_000)));
+    cluster.clock.after(16_000, () -> InjectedFault.MACHINES_RESTART.inject(cluster, 0));
+    cluster.clock.after(30_000, () -> cluster.preemptSpotMachines(4));
+    cluster.clock.after(8000, () -> cancelEveryNth(cluster, 4, 2500));
     cluster.clock.runUntil(125_000);
     for (int node = 0; node < cluster.nodeCount(); node++) {
-      assertThat(cluster.heldReports.copiesAtBeginning[node])
+      assertThat(cluster.delayedHeartbeats.staleCopiesAtTakeover[node])
           .as("old copies at n%d within a second of a beginning", node)
           .isGreaterThan(20);
     }
-    holds(cluster);
+    runAndVerify(cluster);
   }
 
   /** Reports that are held up arrive at the new holder when it has answered their worker. */
@@ -50,14 +52,15 @@
       throws MalformedException {
     SimCluster cluster = held(seed);
     cluster.clock.runUntil(20_000);
-    cluster.heldReports.holdForNext(0.15, 100_000);
+    cluster.delayedHeartbeats.delayForNextOwner(0.15, 100_000);
     cluster.clock.after(5000, () -> changeHands(cluster, 5, eachMs));
-    cluster.clock.after(4000, () -> Trouble.fullest(cluster).forEach(each -> each.hang(22_000)));
-    cluster.clock.after(8000, () -> cancelSome(cluster, 4, 2500));
+    cluster.clock.after(
+        4000, () -> InjectedFault.busiestMachines(cluster).forEach(each -> each.hang(22_000)));
+    cluster.clock.after(8000, () -> cancelEveryNth(cluster, 4, 2500));
     cluster.clock.runUntil(130_000);
-    assertThat(cluster.heldReports.lateAfterItActed)
+    assertThat(cluster.delayedHeartbeats.staleAfterAnswer)
         .as("old reports at the new holder after it had answered their worker")
         .isGreaterThan(10);
-    holds(cluster);
+    runAndVerify(cluster);
   }
 }
--- a/src/test/java/dunlincroft/sim/HeldUpCommandsTest.java
+++ b/src/test/java/dunlincroft/sim/HeldUpCommandsTest.java
@@ -22,21 +22,21 @@
   @ValueSource(longs = {2, 3, 4})
   void cancelledAsTheirCommandsAreHeldUp(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
-    cluster.checks.troublesOver(140_000);
+    cluster.checks.setFaultsEnd(140_000);
     Random random = new Random(seed);
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = RulesTest.simple("run-" + i, "red", 2, 4);
       long cancelMs = i % 3 == 0 ? 0 : 1000 + random.nextInt(30_000);
-      cluster.clock.after(FROM_MS + 400L * i, () -> cluster.user(spec, cancelMs));
+      cluster.clock.after(FROM_MS + 400L * i, () -> cluster.submitAndFollow(spec, cancelMs));
     }
     cluster.clock.runUntil(FROM_MS);
-    cluster.net.heldCommands = 0.3;
+    cluster.net.delayedCommandShare = 0.3;
     cluster.clock.runUntil(100_000);
-    cluster.net.heldCommands = 0;
+    cluster.net.delayedCommandShare = 0;
     cluster.clock.runUntil(500_000);
-    assertThat(cluster.net.lateCommands).as("commands held up").isGreaterThan(5);
-    assertThat(cluster.checks.toldCancelled).as("cancelled").hasSizeGreaterThan(50);
-    assertThat(cluster.checks.broken).isEmpty();
-    assertThat(cluster.checks.toldFinal).as("every job ends").hasSize(JOBS);
+    assertThat(cluster.net.commandsAfterTimeout).as("commands held up").isGreaterThan(5);
+    assertThat(cluster.checks.cancelConfirmedAt).as("cancelled").hasSizeGreaterThan(50);
+    assertThat(cluster.checks.violations).isEmpty();
+    assertThat(cluster.checks.finalStates).as("every job ends").hasSize(JOBS);
   }
 }
--- a/src/test/java/dunlincroft/sim/LeaderChangesTest.java
+++ b/src/test/java/dunlincroft/sim/LeaderChangesTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Leaders change ten times in two minutes, also inside an outage of the state service. */
-class LeaderChangesTest extends MeetingScenario {
+class LeaderChangesTest extends OverlappingFaultsScenario {
   private static final long TWO_MINUTES_MS = 120_000;
   private static final long LOOK_MS = 100;
 
@@ -26,10 +26,10 @@
     }
 
     void look(long untilMs) {
-      JsonNode leads = cluster.state.under("d/leader/").get("one");
+      JsonNode leads = cluster.state.dataUnder("d/leader/").get("one");
       leaders += leads != null && !leads.equals(leader) ? 1 : 0;
       leader = leads != null ? leads : leader;
-      JsonNode holds = cluster.state.under("d/shards/").get("n0");
+      JsonNode holds = cluster.state.dataUnder("d/shards/").get("n0");
       holders += holds != null && !holds.equals(holder) ? 1 : 0;
       holder = holds != null ? holds : holder;
       if (cluster.clock.now() < untilMs) {
@@ -39,7 +39,7 @@
 
     void end(long awayMs) {
       endsInOutage += cluster.state.down ? 1 : 0;
-      cluster.crash(cluster.busiest(), awayMs);
+      cluster.crash(cluster.busiestNode(), awayMs);
     }
   }
 
@@ -55,21 +55,21 @@
   })
   void leadersChangeTenTimesInTwoMinutes(long seed, long everyMs, long awayMs, long outageMs)
       throws MalformedException {
-    SimCluster cluster = busy(seed);
-    cluster.checks.troublesOver(AT_MS + TWO_MINUTES_MS + 20_000);
-    cluster.clock.runUntil(AT_MS);
+    SimCluster cluster = busyCluster(seed);
+    cluster.checks.setFaultsEnd(FAULTS_AT_MS + TWO_MINUTES_MS + 20_000);
+    cluster.clock.runUntil(FAULTS_AT_MS);
     Seen seen = new Seen(cluster);
-    seen.look(AT_MS + TWO_MINUTES_MS);
+    seen.look(FAULTS_AT_MS + TWO_MINUTES_MS);
     for (long at = 0; at < TWO_MINUTES_MS; at += everyMs) {
       cluster.clock.after(at, () -> seen.end(awayMs));
     }
     cluster.clock.after(25_000, () -> cluster.state.outage(outageMs));
-    cancelSome(cluster, 3, 3000);
-    cluster.clock.runUntil(AT_MS + TWO_MINUTES_MS);
+    cancelEveryNth(cluster, 3, 3000);
+    cluster.clock.runUntil(FAULTS_AT_MS + TWO_MINUTES_MS);
     assertThat(Math.max(seen.leaders, seen.holders)).as("changes").isGreaterThan(10);
     assertThat(seen.endsInOutage)
         .as("ends inside the outage")
         .isGreaterThanOrEqualTo((int) (outageMs / everyMs / 2));
-    holds(cluster);
+    runAndVerify(cluster);
   }
 }
--- a/src/test/java/dunlincroft/sim/LeftWaitingTest.java
+++ b/src/test/java/dunlincroft/sim/LeftWaitingTest.java
@@ -41,19 +41,20 @@
 
   private static SimCluster cluster(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
-    cluster.checks.troublesOver(AT_MS);
+    cluster.checks.setFaultsEnd(AT_MS);
     return cluster;
   }
 
   private static boolean foundWaiting(SimCluster cluster, String ref) {
-    return cluster.checks.broken.stream().anyMatch(what -> what.contains("left_waiting: " + ref));
+    return cluster.checks.violations.stream()
+        .anyMatch(what -> what.contains("left_waiting: " + ref));
   }
 
   /** A window that ends keeps its jobs from starting; the check is not told of it. */
   @Test
   void aJobThatTheSchedulerDoesNotPlaceIsFound() throws MalformedException {
     SimCluster cluster = cluster(1);
-    cluster.put(
+    cluster.putDocument(
         "calendar",
         """
         zone = "UTC"
@@ -69,8 +70,8 @@
         """);
     JobSpec held = RulesTest.simple("run-held", "blue", 3, 1);
     JobSpec free = array("run-free", "blue", 3, null, false);
-    cluster.clock.after(5000, () -> cluster.user(held, 0));
-    cluster.clock.after(5000, () -> cluster.user(free, 0));
+    cluster.clock.after(5000, () -> cluster.submitAndFollow(held, 0));
+    cluster.clock.after(5000, () -> cluster.submitAndFollow(free, 0));
     cluster.clock.runUntil(END_MS);
     assertThat(cluster.checks.accepted).contains("run-held", "run-free");
     assertThat(foundWaiting(cluster, "run-held")).isTrue();
@@ -82,7 +83,7 @@
   void jobsThatNobodyPlacesAreFound() throws MalformedException {
     SimCluster cluster = cluster(2);
     JobSpec service = array("run-any", "blue", 6, null, false);
-    cluster.clock.after(5000, () -> cluster.user(service, 0));
+    cluster.clock.after(5000, () -> cluster.submitAndFollow(service, 0));
     cluster.clock.after(AT_MS, () -> cluster.crashAll(400_000));
     cluster.clock.runUntil(END_MS);
     assertThat(foundWaiting(cluster, "run-any")).isTrue();
@@ -93,29 +94,29 @@
   void aTeamAtItsLimitIsNotLeftWaiting() throws MalformedException {
     SimCluster cluster = cluster(3);
     JobSpec more = array("run-more", "red", 30, null, false);
-    cluster.clock.after(5000, () -> cluster.user(more, 0));
+    cluster.clock.after(5000, () -> cluster.submitAndFollow(more, 0));
     cluster.clock.runUntil(END_MS);
     assertThat(cluster.checks.running("run-more")).as("40 cpus").isEqualTo(20);
-    assertThat(cluster.checks.broken).isEmpty();
+    assertThat(cluster.checks.violations).isEmpty();
   }
 
   /** Room is elsewhere: in other zones than the job's own, or than that of its first tasks. */
   @Test
   void roomInAnotherZoneIsNoRoom() throws MalformedException {
     SimCluster cluster = cluster(4);
-    cluster.cloud.most = 6;
+    cluster.cloud.maxMachines = 6;
     JobSpec bound = array("run-bound", "blue", 60, "a", false);
     JobSpec together = array("run-together", "blue", 60, null, true);
     JobSpec free = array("run-small", "blue", 1, null, false);
-    cluster.clock.after(5000, () -> cluster.user(bound, 0));
-    cluster.clock.after(6000, () -> cluster.user(together, 0));
-    cluster.clock.after(9000, () -> cluster.user(free, 0));
+    cluster.clock.after(5000, () -> cluster.submitAndFollow(bound, 0));
+    cluster.clock.after(6000, () -> cluster.submitAndFollow(together, 0));
+    cluster.clock.after(9000, () -> cluster.submitAndFollow(free, 0));
     cluster.clock.runUntil(END_MS);
     assertThat(cluster.checks.running("run-bound")).isBetween(1, 59);
     assertThat(cluster.checks.running("run-together")).isBetween(1, 59);
     assertThat(cluster.cloud.machines.values())
         .as("room elsewhere")
-        .anyMatch(worker -> worker.free().cpu() >= 2000);
-    assertThat(cluster.checks.broken).isEmpty();
+        .anyMatch(worker -> worker.freeCapacity().cpu() >= 2000);
+    assertThat(cluster.checks.violations).isEmpty();
   }
 }
--- a/src/test/java/dunlincroft/sim/LimitMeetingsTest.java
+++ b/src/test/java/dunlincroft/sim/LimitMeetingsTest.java
@@ -22,16 +22,16 @@
  * jobs there are cancelled: the room of a task returns to its team only once it is known to be
  * gone, and cancelled tasks are gone in time.
  */
-class LimitMeetingsTest extends MeetingScenario {
+class LimitMeetingsTest extends OverlappingFaultsScenario {
   private static final double RED = 24;
   private static final double BLUE = 40;
   private static final double TASK = 2;
 
   /** What happens to the machines. */
   enum Out {
-    CUT((cluster, worker, ms) -> cluster.cutOff(worker, ms)),
+    CUT((cluster, worker, ms) -> cluster.cutWorkerFromControllers(worker, ms)),
     HANGS((cluster, worker, ms) -> worker.hang(ms)),
-    DEAF((cluster, worker, ms) -> worker.deafen(ms));
+    DEAF((cluster, worker, ms) -> worker.loseInbound(ms));
 
     private interface Act {
       void on(SimCluster cluster, SimWorker worker, long ms);
@@ -47,20 +47,20 @@
   /** A cluster whose teams have more work than their limits let run. */
   private SimCluster atLimits(long seed, boolean both) throws MalformedException {
     SimCluster cluster =
-        new SimCluster(seed, Policy.DEFAULT, Size.FLEET.limits(RED, both ? BLUE : 0));
-    cluster.checks.troublesOver(AT_MS + 100_000);
+        new SimCluster(seed, Policy.DEFAULT, Size.FLEET.withTeamLimits(RED, both ? BLUE : 0));
+    cluster.checks.setFaultsEnd(FAULTS_AT_MS + 100_000);
     for (int i = 0; i < 28; i++) {
       String team = i % 2 == 0 ? "red" : "blue";
       JobSpec spec =
           RulesTest.simple("run-" + i, team, 1 + i % 6, TASK, i % 3 == 0 ? 75 : 22 + i % 5 * 4, 0);
       jobs.add(spec);
-      cluster.clock.after(3000 + 300L * i, () -> cluster.user(spec, 0));
+      cluster.clock.after(3000 + 300L * i, () -> cluster.submitAndFollow(spec, 0));
     }
     return cluster;
   }
 
   private static Stream<Task> on(Stream<SimWorker> workers) {
-    return workers.flatMap(worker -> worker.tasks.values().stream()).filter(Task::on);
+    return workers.flatMap(worker -> worker.tasks.values().stream()).filter(Task::isActive);
   }
 
   private static double takes(SimCluster cluster, String team) {
@@ -101,26 +101,26 @@
 
   private void meet(SimCluster cluster, Set<String> teams, Out out, long ms, long cancelAfter) {
     List<SimWorker> machines = withTasks(cluster, 3);
-    String old = cluster.holderName();
+    String old = cluster.ownerName();
     machines.forEach(worker -> out.act.on(cluster, worker, ms));
-    cluster.crashHolder(30_000);
+    cluster.crashOwner(30_000);
     Set<JobSpec> there = on(machines.stream()).map(task -> task.spec).collect(Collectors.toSet());
     List<JobSpec> cancelled = new ArrayList<>(there);
     cluster.clock.after(cancelAfter, () -> cancelled.forEach(cluster::cancel));
     long waiting = 0;
     long longest = 0;
-    while (cluster.clock.now() < AT_MS + 90_000) {
+    while (cluster.clock.now() < FAULTS_AT_MS + 90_000) {
       cluster.clock.runUntil(cluster.clock.now() + 200);
       long left =
-          on(machines.stream().filter(worker -> !worker.gone))
-              .filter(task -> cluster.checks.toldCancelled.containsKey(task.spec.ref()))
+          on(machines.stream().filter(worker -> !worker.terminated))
+              .filter(task -> cluster.checks.cancelConfirmedAt.containsKey(task.spec.ref()))
               .count();
-      waiting += left > 0 && !cluster.holderName().equals(old) ? 1 : 0;
+      waiting += left > 0 && !cluster.ownerName().equals(old) ? 1 : 0;
       longest = Math.max(longest, left);
     }
     assertThat(longest).as("cancelled tasks that were still there").isGreaterThan(2);
     assertThat(waiting).as("also after the change of leader").isGreaterThan(5);
-    holdsBy(cluster, 420_000);
+    runAndVerifyBy(cluster, 420_000);
   }
 
   /** One team is at its limit; some machines can't be asked. */
--- a/src/test/java/dunlincroft/sim/LongAbsenceTest.java
+++ b/src/test/java/dunlincroft/sim/LongAbsenceTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A zone, or all controllers, are away for longer than a lease. */
-class LongAbsenceTest extends MeetingScenario {
+class LongAbsenceTest extends OverlappingFaultsScenario {
   private static final long LONGER_THAN_A_LEASE_MS = 33_000;
 
   private static List<SimWorker> inside(SimCluster cluster, String zone) {
     return cluster.cloud.machines.values().stream()
-        .filter(worker -> worker.hall.equals(zone))
+        .filter(worker -> worker.zone.equals(zone))
         .toList();
   }
 
@@ -35,54 +35,54 @@
     "4, false, 45000"
   })
   void aZoneIsCutOff(long seed, boolean holderInside, long ms) throws MalformedException {
-    SimCluster cluster = busy(seed);
-    cluster.clock.runUntil(AT_MS);
-    String zone = holderInside ? cluster.zoneOfTheHolder() : cluster.zoneWithoutTheHolder();
-    String old = cluster.holderName();
+    SimCluster cluster = busyCluster(seed);
+    cluster.clock.runUntil(FAULTS_AT_MS);
+    String zone = holderInside ? cluster.ownerZone() : cluster.zoneWithoutOwner();
+    String old = cluster.ownerName();
     List<SimWorker> inside = inside(cluster, zone);
     int there = inside.stream().mapToInt(worker -> worker.tasks.size()).sum();
     assertThat(there).as("tasks inside").isGreaterThan(3);
     int starts = cluster.checks.starts;
     cluster.cutZone(zone, ms);
-    cancelSome(cluster, 2, 300);
+    cancelEveryNth(cluster, 2, 300);
     for (int i = 0; i < 12; i++) {
       JobSpec more = RulesTest.simple("run-more-" + i, "blue", 6, 2);
-      cluster.clock.after(1000L * i, () -> cluster.user(more, 0));
+      cluster.clock.after(1000L * i, () -> cluster.submitAndFollow(more, 0));
     }
-    cluster.clock.runUntil(AT_MS + ms - 500);
-    assertThat(cluster.holderName().equals(old)).as("held outside").isEqualTo(!holderInside);
+    cluster.clock.runUntil(FAULTS_AT_MS + ms - 500);
+    assertThat(cluster.ownerName().equals(old)).as("held outside").isEqualTo(!holderInside);
     assertThat(cluster.checks.starts).as("jobs go on outside").isGreaterThan(starts + 20);
-    assertThat(cluster.checks.toldCancelled).hasSizeGreaterThan(10);
+    assertThat(cluster.checks.cancelConfirmedAt).hasSizeGreaterThan(10);
     assertThat(inside)
         .as("nobody answers inside for ever")
-        .allMatch(worker -> worker.gone || worker.renewedAt < AT_MS + 26_000);
-    holds(cluster);
+        .allMatch(worker -> worker.terminated || worker.renewedAt < FAULTS_AT_MS + 26_000);
+    runAndVerify(cluster);
   }
 
   /** All are away, return at once or one by one, and find that all sessions are new. */
   @ParameterizedTest
   @CsvSource({"1, 0", "2, 0", "3, 4000", "4, 9000", "5, 300"})
   void allControllersAreAway(long seed, long oneByOneMs) throws MalformedException {
-    SimCluster cluster = busy(seed);
-    cluster.checks.troublesOver(AT_MS + 110_000);
-    cluster.clock.runUntil(AT_MS);
-    cancelSome(cluster, 3, 40);
-    cluster.clock.runUntil(AT_MS + 1000);
+    SimCluster cluster = busyCluster(seed);
+    cluster.checks.setFaultsEnd(FAULTS_AT_MS + 110_000);
+    cluster.clock.runUntil(FAULTS_AT_MS);
+    cancelEveryNth(cluster, 3, 40);
+    cluster.clock.runUntil(FAULTS_AT_MS + 1000);
     Map<SimWorker, Long> sessions =
         cluster.cloud.machines.values().stream()
-            .collect(Collectors.toMap(Function.identity(), SimWorker::tenure));
+            .collect(Collectors.toMap(Function.identity(), SimWorker::session));
     int running = sum(cluster, worker -> worker.tasks.size());
     assertThat(running).isGreaterThan(20);
     for (int node = 0; node < cluster.nodeCount(); node++) {
       cluster.crash(node, LONGER_THAN_A_LEASE_MS + node * oneByOneMs);
     }
-    cluster.clock.runUntil(AT_MS + LONGER_THAN_A_LEASE_MS);
-    assertThat(cluster.checks.endedByLease).as("tasks ended by leases").isGreaterThan(15);
+    cluster.clock.runUntil(FAULTS_AT_MS + LONGER_THAN_A_LEASE_MS);
+    assertThat(cluster.checks.tasksLostToLease).as("tasks ended by leases").isGreaterThan(15);
     assertThat(sessions)
-        .allSatisfy((worker, tenure) -> assertThat(worker.tenure()).isGreaterThan(tenure));
+        .allSatisfy((worker, tenure) -> assertThat(worker.session()).isGreaterThan(tenure));
     int starts = cluster.checks.starts;
-    cluster.clock.runUntil(AT_MS + LONGER_THAN_A_LEASE_MS + 30_000);
+    cluster.clock.runUntil(FAULTS_AT_MS + LONGER_THAN_A_LEASE_MS + 30_000);
     assertThat(cluster.checks.starts).as("work begins anew").isGreaterThan(starts + 10);
-    holds(cluster);
+    runAndVerify(cluster);
   }
 }
--- a/src/test/java/dunlincroft/sim/LostAnswers.java
+++ b/src/test/java/dunlincroft/sim/LostAnswers.java
@@ -26,7 +26,7 @@
     LOG,
     PAGE,
     /** Pages of ended jobs are removed. */
-    SWEEP,
+    PAGE_REMOVAL,
     /** The leader leases new machines as blocks. */
     NEW_BLOCK,
     /** A holder hands machines to another shard. */
@@ -36,10 +36,10 @@
     /** Released machines leave their block. */
     RELEASE,
     /** The leader records the teams' limits. */
-    SHARES_MADE,
+    SHARES_CREATED,
     SHARE_MOVED,
-    HOLD,
-    HOLD_RENEWED,
+    SESSION_LEASE,
+    SESSION_LEASE_RENEWED,
     /** A controller's own record. */
     CONTROLLER,
     LEADER,
@@ -51,7 +51,7 @@
     MIGRATION,
     OTHER;
 
-    private static boolean guards(JsonNode body, String prefix) {
+    private static boolean hasGuard(JsonNode body, String prefix) {
       for (JsonNode guard : body.path("guards")) {
         if (guard.path("key").asText().startsWith(prefix)) {
           return true;
@@ -62,10 +62,10 @@
 
     static Kind of(Call call, ObjectNode body, SimState state) {
       if (call.path().endsWith("/touch")) {
-        return HOLD_RENEWED;
+        return SESSION_LEASE_RENEWED;
       }
       if (call.path().equals("/holds")) {
-        return HOLD;
+        return SESSION_LEASE;
       }
       JsonNode first = body.path("apply").path(0);
       boolean put = first.has("put");
@@ -75,10 +75,10 @@
         case "jobs" -> first.path("data").has("status") ? END : ACCEPTANCE;
         case "cancels" -> CANCEL;
         case "logs" -> LOG;
-        case "pages" -> put ? PAGE : SWEEP;
-        case "blocks" -> block(body, state.under("d/blocks/").get(parts[2]));
+        case "pages" -> put ? PAGE : PAGE_REMOVAL;
+        case "blocks" -> blockKind(body, state.dataUnder("d/blocks/").get(parts[2]));
         case "adoptions" -> NEW_BLOCK;
-        case "shares" -> guards(body, "d/leader/") ? SHARES_MADE : SHARE_MOVED;
+        case "shares" -> hasGuard(body, "d/leader/") ? SHARES_CREATED : SHARE_MOVED;
         case "controllers" -> CONTROLLER;
         case "leader" -> LEADER;
         case "shards" -> SHARD;
@@ -90,16 +90,16 @@
       };
     }
 
-    private static Kind block(JsonNode body, JsonNode before) {
-      if (guards(body, "d/leader/")) {
+    private static Kind blockKind(JsonNode body, JsonNode current) {
+      if (hasGuard(body, "d/leader/")) {
         return NEW_BLOCK;
       }
       JsonNode data = body.path("apply").path(0).path("data");
-      if (before != null && before.equals(data)) {
+      if (current != null && current.equals(data)) {
         return FENCE;
       }
-      boolean same = before != null && before.path("shard").equals(data.path("shard"));
-      boolean released = data.isMissingNode() || (same && body.path("apply").size() == 1);
+      boolean sameShard = current != null && current.path("shard").equals(data.path("shard"));
+      boolean released = data.isMissingNode() || (sameShard && body.path("apply").size() == 1);
       return released ? RELEASE : BLOCK_MOVED;
     }
   }
@@ -118,9 +118,9 @@
   }
 
   /** From now on that share of the answers to calls of these kinds is lost. */
-  void lose(Set<Kind> these, double part) {
-    kinds = these;
-    share = part;
+  void lose(Set<Kind> selectedKinds, double lossShare) {
+    kinds = selectedKinds;
+    share = lossShare;
   }
 
   int lost(Kind kind) {
@@ -128,7 +128,7 @@
   }
 
   /** Whether the answer with a status, to a call that is about to be carried out, is to be lost. */
-  IntPredicate about(Call call, ObjectNode body) {
+  IntPredicate selectLoss(Call call, ObjectNode body) {
     boolean changes = call.path().equals("/multi") || call.path().startsWith("/holds");
     if (share == 0 || !changes) {
       return status -> false;
--- a/src/test/java/dunlincroft/sim/LostAnswersTest.java
+++ b/src/test/java/dunlincroft/sim/LostAnswersTest.java
@@ -22,7 +22,7 @@
  * users ask all nodes, controllers crash and machines hang. Its sender finds out that it was its
  * own.
  */
-class LostAnswersTest extends MeetingScenario {
+class LostAnswersTest extends OverlappingFaultsScenario {
   private static final long FROM_MS = 4000;
   private static final long FOR_MS = 80_000;
 
@@ -46,7 +46,7 @@
   /** Each job is sent to all nodes within milliseconds; one alone accepts it. */
   private void submitEverywhere(SimCluster cluster) {
     for (JobSpec spec : jobs) {
-      if (cluster.uploaded(spec.ref()) != null && !cluster.checks.accepted.contains(spec.ref())) {
+      if (cluster.specOf(spec.ref()) != null && !cluster.checks.accepted.contains(spec.ref())) {
         for (int node = 0; node < cluster.nodeCount(); node++) {
           ask(cluster, spec, node, true);
         }
@@ -66,7 +66,7 @@
           if (reply.body().length > 0) {
             try {
               ObjectNode map = Cbor.parse(reply.body());
-              cluster.checks.told(spec, reply.status(), map.path("status").asText(), sentAt);
+              cluster.checks.onAnswer(spec, reply.status(), map.path("status").asText(), sentAt);
               lookedAt.add(spec.ref());
             } catch (MalformedException e) {
               throw new IllegalStateException(e);
@@ -76,17 +76,17 @@
   }
 
   private SimCluster cluster(long seed, Kind kind) throws MalformedException {
-    boolean pages = kind == Kind.PAGE || kind == Kind.SWEEP;
+    boolean pages = kind == Kind.PAGE || kind == Kind.PAGE_REMOVAL;
     SimCluster cluster =
         pages
             ? new SimCluster(seed, Policy.DEFAULT, Size.TIGHT)
-            : busy(seed, Policy.parse("holder_machines = 12;"));
+            : busyCluster(seed, Policy.parse("holder_machines = 12;"));
     if (pages) {
-      cluster.checks.troublesOver(AT_MS + 90_000);
+      cluster.checks.setFaultsEnd(FAULTS_AT_MS + 90_000);
       for (int i = 0; i < 40; i++) {
         JobSpec spec = RulesTest.simple("run-" + i, "blue", 250, 0.5);
         jobs.add(spec);
-        cluster.clock.after(4000 + 1000L * i, () -> cluster.user(spec, 0));
+        cluster.clock.after(4000 + 1000L * i, () -> cluster.submitAndFollow(spec, 0));
       }
     }
     return cluster;
@@ -113,26 +113,26 @@
     }
     for (int i = 0; i < 3; i++) {
       long awayMs = i == 1 ? 15_000 : 200;
-      cluster.clock.after(14_000 + 20_000L * i, () -> cluster.crashHolder(awayMs));
+      cluster.clock.after(14_000 + 20_000L * i, () -> cluster.crashOwner(awayMs));
       if (kind == Kind.FENCE) {
         for (int j = 0; j < 4; j++) {
           cluster.clock.after(
               16_000 + 20_000L * i + 5000L * j,
-              () -> Trouble.fullest(cluster).forEach(worker -> worker.hang(4000)));
+              () -> InjectedFault.busiestMachines(cluster).forEach(worker -> worker.hang(4000)));
           // A worker that begins anew always gets a higher fence: with hanging machines alone the
           // number of raised fences hung on the seed.
           cluster.clock.after(
               18_000 + 20_000L * i + 5000L * j,
-              () -> Trouble.fullest(cluster).forEach(worker -> worker.restart(200)));
+              () -> InjectedFault.busiestMachines(cluster).forEach(worker -> worker.restart(200)));
         }
       }
     }
     cluster.clock.runUntil(20_000);
-    cancelSome(cluster, kind == Kind.CANCEL ? 2 : 4, 1000);
+    cancelEveryNth(cluster, kind == Kind.CANCEL ? 2 : 4, 1000);
     cluster.clock.runUntil(FROM_MS + FOR_MS + 1);
-    holdsOnceDone(cluster);
+    runUntilDoneAndVerify(cluster);
     assertThat(cluster.lostAnswers.lost(kind)).as("answers lost").isGreaterThanOrEqualTo(least);
     assertThat(lookedAt).as("jobs asked about at all nodes").hasSizeGreaterThan(30);
-    assertThat(cluster.checks.accepted).as("accepted").hasSize(cluster.jobs());
+    assertThat(cluster.checks.accepted).as("accepted").hasSize(cluster.submittedJobs());
   }
 }
--- a/src/test/java/dunlincroft/sim/LostHandsTest.java
+++ b/src/test/java/dunlincroft/sim/LostHandsTest.java
@@ -14,7 +14,7 @@
  * Answers are lost to what makes controllers, leaders and holders, and to what moves machines and
  * shares between them: whoever won finds out by the records, and acts.
  */
-class LostHandsTest extends MeetingScenario {
+class LostHandsTest extends OverlappingFaultsScenario {
   @ParameterizedTest
   @CsvSource({
     "HOLD,1,10",
@@ -34,17 +34,18 @@
   void whoeverWonFindsOut(Kind kind, long seed, int least) throws MalformedException {
     // Blocks move seldom: with more holders they do more often.
     int holderMachines = kind == Kind.BLOCK_MOVED ? 5 : 12;
-    SimCluster cluster = busy(seed, Policy.parse("holder_machines = " + holderMachines + ";"));
+    SimCluster cluster =
+        busyCluster(seed, Policy.parse("holder_machines = " + holderMachines + ";"));
     cluster.loseAnswers(EnumSet.of(kind), 0.7, 85_000);
     for (int i = 0; i < 5; i++) {
       long awayMs = i % 2 == 1 ? 14_000 : 200;
-      cluster.clock.after(14_000 + 14_000L * i, () -> cluster.crashHolder(awayMs));
-      cluster.clock.after(18_000 + 14_000L * i, () -> cluster.takeBack(4));
+      cluster.clock.after(14_000 + 14_000L * i, () -> cluster.crashOwner(awayMs));
+      cluster.clock.after(18_000 + 14_000L * i, () -> cluster.preemptSpotMachines(4));
     }
     cluster.clock.runUntil(20_000);
-    cancelSome(cluster, 4, 1500);
+    cancelEveryNth(cluster, 4, 1500);
     cluster.clock.runUntil(86_000);
-    holdsOnceDone(cluster);
+    runUntilDoneAndVerify(cluster);
     assertThat(cluster.lostAnswers.lost(kind)).as("answers lost").isGreaterThanOrEqualTo(least);
   }
 
@@ -62,23 +63,23 @@
     assertThat(tasksReleased(cluster))
         .as("tasks lost by release, without lost answers %d", usual)
         .isLessThanOrEqualTo(usual + 3);
-    holdsOnceDone(cluster);
+    runUntilDoneAndVerify(cluster);
   }
 
   private static long tasksReleased(SimCluster cluster) {
-    return cluster.cloud.tasksReleased;
+    return cluster.cloud.tasksLostToRelease;
   }
 
   private SimCluster zoneCutAtATakeover(long seed, boolean answerLost) throws MalformedException {
-    SimCluster cluster = busy(seed);
-    cluster.clock.runUntil(AT_MS);
-    String old = cluster.holderName();
+    SimCluster cluster = busyCluster(seed);
+    cluster.clock.runUntil(FAULTS_AT_MS);
+    String old = cluster.ownerName();
     if (answerLost) {
       cluster.loseAnswers(EnumSet.of(Kind.SHARD), 1, 15_000);
     }
-    cluster.cutZone(cluster.zoneOfTheHolder(), 30_000);
-    cluster.clock.runUntil(AT_MS + 33_000);
-    assertThat(cluster.holderName()).as("another holds the shard").isNotEqualTo(old);
+    cluster.cutZone(cluster.ownerZone(), 30_000);
+    cluster.clock.runUntil(FAULTS_AT_MS + 33_000);
+    assertThat(cluster.ownerName()).as("another holds the shard").isNotEqualTo(old);
     return cluster;
   }
 }
--- a/src/test/java/dunlincroft/sim/MigrationTest.java
+++ b/src/test/java/dunlincroft/sim/MigrationTest.java
@@ -41,20 +41,23 @@
   /** Fault that is injected repeatedly during the migration. */
   private enum Fault {
     NONE(cluster -> {}),
-    OWNER_CRASHES(cluster -> cluster.crashHolder(200)),
-    OWNER_DOWN_LONG(cluster -> cluster.crashHolder(30_000)),
+    OWNER_CRASHES(cluster -> cluster.crashOwner(200)),
+    OWNER_DOWN_LONG(cluster -> cluster.crashOwner(30_000)),
     ALL_CRASH(cluster -> cluster.crashAll(200)),
-    OWNER_PAUSES(cluster -> cluster.freezeHolder(5000)),
-    OWNER_PARTITIONED_WITH_WORKERS(cluster -> cluster.cutHolderFromControllers(8000)),
-    LINKS_REFUSED(cluster -> cluster.refuseLinks(6000)),
-    STATE_SERVICE_SLOW(cluster -> cluster.slowState(30, 5000)),
+    OWNER_PAUSES(cluster -> cluster.pauseOwner(5000)),
+    OWNER_PARTITIONED_WITH_WORKERS(cluster -> cluster.cutOwnerFromControllers(8000)),
+    LINKS_REFUSED(cluster -> cluster.refusePeerConnections(6000)),
+    STATE_SERVICE_SLOW(cluster -> cluster.slowStateService(30, 5000)),
     STATE_SERVICE_DOWN(cluster -> cluster.state.outage(4000)),
     WORKERS_RESTART(
         cluster -> cluster.cloud.machines.values().stream().limit(5).forEach(w -> w.restart(150))),
     LOST_ANSWERS_AND_DUPLICATES(
         cluster -> {
-          cluster.copies = 0.3;
-          cluster.cloud.machines.values().stream().skip(3).limit(2).forEach(w -> w.deafen(15_000));
+          cluster.heartbeatCopyShare = 0.3;
+          cluster.cloud.machines.values().stream()
+              .skip(3)
+              .limit(2)
+              .forEach(w -> w.loseInbound(15_000));
         });
 
     private final Consumer<SimCluster> injection;
@@ -93,15 +96,16 @@
   /** Starts services in any zone and then a migration. */
   private static SimCluster startMigration(long seed, String whenIll) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
-    cluster.put("migration", DOCUMENT.formatted(whenIll));
+    cluster.putDocument("migration", DOCUMENT.formatted(whenIll));
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = service("run-m" + i);
-      cluster.clock.after(5000 + 500L * i, () -> cluster.user(spec, 0));
+      cluster.clock.after(5000 + 500L * i, () -> cluster.submitAndFollow(spec, 0));
     }
     cluster.clock.runUntil(START_MS);
     assertThat(runningReplicas(cluster)).isEqualTo(4 * JOBS);
     request(cluster, MigrationLedger.Request.START);
-    cluster.checks.sides("run-m", (phase, zone) -> isStartAllowed(phase, zone.equals("a")));
+    cluster.checks.restrictToZones(
+        "run-m", (phase, zone) -> isStartAllowed(phase, zone.equals("a")));
     return cluster;
   }
 
@@ -115,13 +119,13 @@
   }
 
   private static void request(SimCluster cluster, MigrationLedger.Request request) {
-    cluster.create(
+    cluster.createRecord(
         MigrationLedger.requestKey("core"),
         Cbor.map().put("ask", request.name()).put("by", "test"));
   }
 
   private static String phase(SimCluster cluster) {
-    JsonNode record = cluster.state.under("d/migrations/").get("core");
+    JsonNode record = cluster.state.dataUnder("d/migrations/").get("core");
     return record == null ? "none" : record.path("phase").asText();
   }
 
@@ -153,10 +157,10 @@
     while (!phase(cluster).equals("settled") && cluster.clock.now() < until) {
       cluster.clock.runUntil(cluster.clock.now() + 250);
       // A fault may last so long that the migration is paused; an operator then resumes it.
-      JsonNode record = cluster.state.under("d/migrations/").get("core");
+      JsonNode record = cluster.state.dataUnder("d/migrations/").get("core");
       if (record != null
           && record.path("paused").asBoolean()
-          && cluster.state.under("d/migrationasks/").isEmpty()) {
+          && cluster.state.dataUnder("d/migrationasks/").isEmpty()) {
         request(cluster, MigrationLedger.Request.RESUME);
       }
       fewestRunning =
@@ -165,12 +169,12 @@
     assertThat(phase(cluster)).isEqualTo("settled");
     // Without faults few replicas move at a time: at least three quarters keep running.
     assertThat(fewestRunning).isGreaterThanOrEqualTo(4 * JOBS * 3 / 4);
-    cluster.copies = 0;
+    cluster.heartbeatCopyShare = 0;
     cluster.clock.runUntil(cluster.clock.now() + 60_000);
     assertReplicasOnSide(cluster, false);
-    assertThat(cluster.checks.broken).isEmpty();
-    Map<String, JsonNode> history = cluster.state.under("d/migrationlog/core/");
-    long epoch = cluster.state.under("d/migrations/").get("core").path("epoch").asLong();
+    assertThat(cluster.checks.violations).isEmpty();
+    Map<String, JsonNode> history = cluster.state.dataUnder("d/migrationlog/core/");
+    long epoch = cluster.state.dataUnder("d/migrations/").get("core").path("epoch").asLong();
     assertThat(history).as("exactly one history entry for each step").hasSize((int) epoch);
     assertThat(history.get("1").path("from").asText()).isEqualTo("none");
   }
@@ -194,7 +198,7 @@
       cluster.clock.runUntil(cluster.clock.now() + 300_000);
       assertThat(phase(cluster)).isEqualTo("old");
       assertReplicasOnSide(cluster, true);
-      assertThat(cluster.checks.broken).isEmpty();
+      assertThat(cluster.checks.violations).isEmpty();
     }
   }
 
@@ -208,24 +212,24 @@
       names = {"NONE", "OWNER_CRASHES"})
   void unavailableNewSideCausesRollback(Fault fault) throws MalformedException {
     SimCluster cluster = new SimCluster(53, Policy.DEFAULT, Size.FLEET);
-    cluster.cloud.refused.addAll(List.of("b", "c"));
+    cluster.cloud.zonesWithoutCapacity.addAll(List.of("b", "c"));
     cluster.cloud.machines.values().stream()
-        .filter(worker -> !worker.hall.equals("a"))
+        .filter(worker -> !worker.zone.equals("a"))
         .toList()
-        .forEach(worker -> worker.sick = true);
-    cluster.put("migration", DOCUMENT.formatted("back"));
+        .forEach(worker -> worker.faulty = true);
+    cluster.putDocument("migration", DOCUMENT.formatted("back"));
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = service("run-m" + i);
-      cluster.clock.after(5000 + 500L * i, () -> cluster.user(spec, 0));
+      cluster.clock.after(5000 + 500L * i, () -> cluster.submitAndFollow(spec, 0));
     }
     cluster.clock.runUntil(START_MS);
     request(cluster, MigrationLedger.Request.START);
     cluster.clock.after(9000, () -> fault.injection.accept(cluster));
     cluster.clock.runUntil(START_MS + 500_000);
     assertThat(phase(cluster)).isIn("old", "back");
-    assertThat(cluster.state.under("d/migrationlog/core/").values())
+    assertThat(cluster.state.dataUnder("d/migrationlog/core/").values())
         .anyMatch(entry -> entry.path("to").asText().equals("back"));
-    assertThat(cluster.checks.broken).isEmpty();
+    assertThat(cluster.checks.violations).isEmpty();
   }
 
   /**
@@ -240,10 +244,10 @@
     cluster.clock.runUntil(START_MS + 60_000);
     assertThat(phase(cluster)).isEqualTo("canary");
     request(cluster, MigrationLedger.Request.RESUME);
-    cluster.put("migration", DOCUMENT.formatted("back").replace("\"b\", \"c\"", "\"c\""));
+    cluster.putDocument("migration", DOCUMENT.formatted("back").replace("\"b\", \"c\"", "\"c\""));
     cluster.clock.runUntil(START_MS + 500_000);
     assertThat(phase(cluster)).as("with the definition at the start").isEqualTo("settled");
     assertReplicasOnSide(cluster, false);
-    assertThat(cluster.checks.broken).isEmpty();
+    assertThat(cluster.checks.violations).isEmpty();
   }
 }
--- a/src/test/java/dunlincroft/sim/MuteMachinesTest.java
+++ b/src/test/java/dunlincroft/sim/MuteMachinesTest.java
@@ -17,26 +17,26 @@
  * leases end, since commands do not renew them; they answer questions and so are not taken for
  * dead; and what they ran starts elsewhere only by the word of their new session.
  */
-class MuteMachinesTest extends MeetingScenario {
+class MuteMachinesTest extends OverlappingFaultsScenario {
   private static final long END_MS = 420_000;
 
   private static Stream<Task> on(SimWorker worker) {
-    return worker.tasks.values().stream().filter(Task::on);
+    return worker.tasks.values().stream().filter(Task::isActive);
   }
 
   /** Mute for shorter and longer than the lease, beside a change of leader and cancellations. */
   @ParameterizedTest
   @CsvSource({"1,9000,0", "2,14000,3000", "3,30000,1000", "4,45000,8000", "5,60000,23000"})
   void machinesAreMute(long seed, long ms, long crashAfter) throws MalformedException {
-    SimCluster cluster = busy(seed);
-    cluster.clock.runUntil(AT_MS);
-    List<SimWorker> mute = Trouble.fullest(cluster);
+    SimCluster cluster = busyCluster(seed);
+    cluster.clock.runUntil(FAULTS_AT_MS);
+    List<SimWorker> mute = InjectedFault.busiestMachines(cluster);
     assertThat(mute.stream().flatMap(MuteMachinesTest::on).count()).isGreaterThan(8);
-    List<Long> tenures = mute.stream().map(SimWorker::tenure).toList();
-    mute.forEach(worker -> worker.mute(ms));
-    String old = cluster.holderName();
+    List<Long> tenures = mute.stream().map(SimWorker::session).toList();
+    mute.forEach(worker -> worker.blockOutbound(ms));
+    String old = cluster.ownerName();
     if (crashAfter >= 0) {
-      cluster.clock.after(crashAfter, () -> cluster.crashHolder(15_000));
+      cluster.clock.after(crashAfter, () -> cluster.crashOwner(15_000));
     }
     Set<JobSpec> there =
         mute.stream()
@@ -45,32 +45,34 @@
             .filter(spec -> spec.ref().hashCode() % 2 == 0)
             .collect(Collectors.toSet());
     cluster.clock.after(2000, () -> there.forEach(cluster::cancel));
-    cluster.clock.runUntil(AT_MS + Math.min(ms, 44_000));
+    cluster.clock.runUntil(FAULTS_AT_MS + Math.min(ms, 44_000));
     Set<String> hosts = mute.stream().map(worker -> worker.host).collect(Collectors.toSet());
     long direct =
-        cluster.orders.all.stream()
-            .filter(done -> hosts.contains(done.host()) && done.at() > AT_MS)
-            .filter(OrderLog.Done::direct)
+        cluster.orderLog.executed.stream()
+            .filter(done -> hosts.contains(done.host()) && done.executedAt() > FAULTS_AT_MS)
+            .filter(OrderLog.ExecutedOrder::direct)
             .count();
     long ended = 0;
     for (int i = 0; i < mute.size(); i++) {
-      ended += mute.get(i).tenure() > tenures.get(i) ? 1 : 0;
+      ended += mute.get(i).session() > tenures.get(i) ? 1 : 0;
     }
-    long gone = mute.stream().filter(worker -> worker.gone).count();
+    long gone = mute.stream().filter(worker -> worker.terminated).count();
     assertThat(direct).as("direct orders that mute machines carried out").isPositive();
-    assertThat(cluster.cloud.tasksReleased).as("tasks of machines that were released").isZero();
+    assertThat(cluster.cloud.tasksLostToRelease)
+        .as("tasks of machines that were released")
+        .isZero();
     if (ms > cluster.leaseMs) {
       assertThat(ended).as("sessions that ended").isGreaterThanOrEqualTo(4 - gone);
     } else {
       assertThat(ended).as("sessions that ended").isZero();
     }
     if (crashAfter >= 0 && crashAfter < ms) {
-      assertThat(cluster.holderName()).isNotEqualTo(old);
+      assertThat(cluster.ownerName()).isNotEqualTo(old);
     }
-    endServices(cluster);
-    holdsBy(cluster, END_MS);
+    cancelServices(cluster);
+    runAndVerifyBy(cluster, END_MS);
     assertThat(there)
         .as("cancelled jobs of theirs")
-        .anyMatch(spec -> cluster.checks.toldCancelled.containsKey(spec.ref()));
+        .anyMatch(spec -> cluster.checks.cancelConfirmedAt.containsKey(spec.ref()));
   }
 }
--- a/src/test/java/dunlincroft/sim/OldEndsTest.java
+++ b/src/test/java/dunlincroft/sim/OldEndsTest.java
@@ -25,11 +25,11 @@
     String ref = String.format("run-old-%06d", number);
     String state = number % 2 == 0 ? "done" : "withdrawn";
     JobSpec spec = RulesTest.simple(ref, "blue", 1, 1);
-    cluster.create("d/jobs/" + ref, Cbor.map().put("status", state).put("done", 1));
+    cluster.createRecord("d/jobs/" + ref, Cbor.map().put("status", state).put("done", 1));
     if (number < FORGOTTEN) {
-      cluster.checks.completed.put(ref, Set.of(ref + "/0"));
-      cluster.checks.askedCancel.add(ref);
-      cluster.checks.told(spec, 200, Cbor.map().put("status", state).put("done", 1), 0);
+      cluster.checks.completedTasks.put(ref, Set.of(ref + "/0"));
+      cluster.checks.cancelRequested.add(ref);
+      cluster.checks.onAnswer(spec, 200, Cbor.map().put("status", state).put("done", 1), 0);
     }
     return spec;
   }
@@ -53,16 +53,16 @@
       JobSpec spec = old.get(i);
       for (int node = 0; node < cluster.nodeCount(); node++) {
         int each = node;
-        cluster.clock.after(200L * i, () -> cluster.closeLooks.ask(each, spec));
-        cluster.clock.after(200L * i + 30, () -> cluster.closeLooks.submit(each, spec));
-        cluster.clock.after(200L * i + 60, () -> cluster.closeLooks.cancel(each, spec));
+        cluster.clock.after(200L * i, () -> cluster.requestBursts.query(each, spec));
+        cluster.clock.after(200L * i + 30, () -> cluster.requestBursts.submit(each, spec));
+        cluster.clock.after(200L * i + 60, () -> cluster.requestBursts.cancel(each, spec));
       }
       asked += cluster.nodeCount();
     }
     cluster.clock.runUntil(READ_MS + 30_000);
-    assertThat(cluster.checks.broken).isEmpty();
+    assertThat(cluster.checks.violations).isEmpty();
     assertThat(read[0]).as("ends that were looked up").isGreaterThan(2 * asked);
-    assertThat(cluster.state.under("d/jobs/"))
+    assertThat(cluster.state.dataUnder("d/jobs/"))
         .hasSize(Constants.MAX_ENDED_JOBS_IN_MEMORY + FORGOTTEN);
   }
 }
--- a/src/test/java/dunlincroft/sim/OwnDaysTest.java
+++ b/src/test/java/dunlincroft/sim/OwnDaysTest.java
@@ -45,7 +45,7 @@
         }),
     ONE_ZONE_OF_THE_ONLY_TYPE(
         day -> {
-          day.cluster.cloud.refused.addAll(List.of("a", "c"));
+          day.cluster.cloud.zonesWithoutCapacity.addAll(List.of("a", "c"));
           for (int i = 0; i < 60; i++) {
             day.submit(30_000 + 200L * i, "copy", "blue", 8);
           }
@@ -100,7 +100,7 @@
             day.submit(30_000 + 60L * i, "copy", "blue", 8);
           }
           day.cluster.clock.after(40_000, day::killAQuarter);
-          day.cluster.clock.after(41_000, () -> day.cluster.crashHolder(AT_ONCE_MS));
+          day.cluster.clock.after(41_000, () -> day.cluster.crashOwner(AT_ONCE_MS));
         });
 
     private final Consumer<OwnDaysTest> plan;
@@ -149,14 +149,14 @@
     } catch (MalformedException e) {
       throw new IllegalStateException(e);
     }
-    cluster.clock.after(atMs, () -> cluster.user(spec, daemon ? 60_000 : 0));
+    cluster.clock.after(atMs, () -> cluster.submitAndFollow(spec, daemon ? 60_000 : 0));
   }
 
   private void killAQuarter() {
     List<SimWorker> workers = List.copyOf(cluster.cloud.machines.values());
     for (int i = 0; i < workers.size(); i += 4) {
       cluster.cloud.machines.remove(workers.get(i).host);
-      workers.get(i).die();
+      workers.get(i).terminate();
     }
   }
 
@@ -169,12 +169,12 @@
     }
     day.plan.accept(this);
     cluster.clock.runUntil(150_000);
-    assertThat(cluster.checks.broken).isEmpty();
-    assertThat(cluster.checks.leastServed(SERVED_WITHIN_MS)).isGreaterThan(LEAST_SERVED);
+    assertThat(cluster.checks.violations).isEmpty();
+    assertThat(cluster.checks.minStartedShare(SERVED_WITHIN_MS)).isGreaterThan(LEAST_SERVED);
     cluster.clock.runUntil(500_000);
-    assertThat(cluster.checks.largestLate()).isEmpty();
-    assertThat(cluster.checks.leastDone()).isGreaterThan(LEAST_SERVED);
-    assertThat(cluster.checks.broken).isEmpty();
-    assertThat(cluster.checks.toldFinal).hasSize(cluster.jobs());
+    assertThat(cluster.checks.largestStartedLate()).isEmpty();
+    assertThat(cluster.checks.minDoneShare()).isGreaterThan(LEAST_SERVED);
+    assertThat(cluster.checks.violations).isEmpty();
+    assertThat(cluster.checks.finalStates).hasSize(cluster.submittedJobs());
   }
 }
--- a/src/test/java/dunlincroft/sim/HandChanges.java
+++ b/src/test/java/dunlincroft/sim/OwnershipChanges.java
@@ -14,9 +14,9 @@
  * When shards change hands, as the transactions show that the state service carries out: the last
  * write of the old holder, the record, the first write and the first placements of the new one.
  */
-final class HandChanges {
+final class OwnershipChanges {
   /** Something has not happened yet. */
-  static final long NEVER = Long.MAX_VALUE;
+  static final long NOT_YET = Long.MAX_VALUE;
 
   private static final String PUT = "put";
   private static final String SHARDS = Wire.key(Replica.SHARDS, "");
@@ -35,8 +35,8 @@
 
     final long lastOldWriteAt;
     final long recordedAt;
-    long firstNewWriteAt = NEVER;
-    long firstPlacementAt = NEVER;
+    long firstNewWriteAt = NOT_YET;
+    long firstPlacementAt = NOT_YET;
 
     private Change(
         String shard, String from, String to, boolean planned, long lastOldWriteAt, long at) {
@@ -52,13 +52,13 @@
   /** What can be seen of a change, in its order. */
   enum Step {
     RECORDED,
-    WRITES,
-    PLACES
+    FIRST_WRITE,
+    FIRST_PLACEMENT
   }
 
   /** Told of each step as it is seen. */
   interface Listener {
-    void step(Step step, Change change);
+    void onStep(Step step, Change change);
   }
 
   private final SimCluster cluster;
@@ -66,89 +66,92 @@
   final List<Listener> listeners = new ArrayList<>();
 
   /** Told of the shard that gave, as a block or a part of a share goes to another shard. */
-  final List<Consumer<String>> givings = new ArrayList<>();
+  final List<Consumer<String>> transferListeners = new ArrayList<>();
 
-  int blocksGiven;
-  int sharesGiven;
-  private final Map<String, String> holders = new HashMap<>();
+  int blocksTransferred;
+  int sharesTransferred;
+  private final Map<String, String> owners = new HashMap<>();
   private final Map<String, Long> lastWrites = new HashMap<>();
-  private final Map<String, Change> open = new HashMap<>();
+  private final Map<String, Change> pendingChanges = new HashMap<>();
   private final Map<String, String> shardsOfBlocks = new HashMap<>();
 
-  HandChanges(SimCluster cluster) {
+  OwnershipChanges(SimCluster cluster) {
     this.cluster = cluster;
-    cluster.net.transactionListeners.add(this::carriedOut);
+    cluster.net.transactionListeners.add(this::onTransaction);
   }
 
-  private void carriedOut(String from, ObjectNode body, int status) {
+  private void onTransaction(String from, ObjectNode body, int status) {
     if (status != 200) {
       return;
     }
-    boolean places = false;
+    boolean placesTasks = false;
     for (JsonNode guard : body.path("guards")) {
-      places |= guard.path("key").asText().startsWith(CANCELS) && guard.path("stamp").asLong() == 0;
+      placesTasks |=
+          guard.path("key").asText().startsWith(CANCELS) && guard.path("stamp").asLong() == 0;
     }
     for (JsonNode guard : body.path("guards")) {
       String key = guard.path("key").asText();
       if (key.startsWith(SHARDS)) {
-        written(key.substring(SHARDS.length()), from, body, places);
+        onShardWrite(key.substring(SHARDS.length()), from, body, placesTasks);
       }
     }
   }
 
-  private void written(String shard, String from, ObjectNode body, boolean places) {
+  private void onShardWrite(String shard, String from, ObjectNode body, boolean placesTasks) {
     for (JsonNode change : body.path("apply")) {
       String key = change.path(PUT).asText();
       if (key.equals(SHARDS + shard)) {
-        changed(shard, from, change.path("data").path("holder").asText());
+        onOwnerRecorded(shard, from, change.path("data").path("holder").asText());
         return;
       }
-      given(shard, key, change.path("data"));
+      recordTransfer(shard, key, change.path("data"));
     }
     lastWrites.put(shard, cluster.clock.now());
-    Change now = open.get(shard);
-    if (now == null) {
+    Change current = pendingChanges.get(shard);
+    if (current == null) {
       return;
     }
-    if (now.firstNewWriteAt == NEVER) {
-      now.firstNewWriteAt = cluster.clock.now();
-      tell(Step.WRITES, now);
+    if (current.firstNewWriteAt == NOT_YET) {
+      current.firstNewWriteAt = cluster.clock.now();
+      notifyListeners(Step.FIRST_WRITE, current);
     }
-    if (places) {
-      now.firstPlacementAt = cluster.clock.now();
-      open.remove(shard);
-      tell(Step.PLACES, now);
+    if (placesTasks) {
+      current.firstPlacementAt = cluster.clock.now();
+      pendingChanges.remove(shard);
+      notifyListeners(Step.FIRST_PLACEMENT, current);
     }
   }
 
-  private void changed(String shard, String from, String to) {
-    String old = holders.put(shard, to);
-    if (old == null) {
+  private void onOwnerRecorded(String shard, String from, String to) {
+    String previous = owners.put(shard, to);
+    if (previous == null) {
       return;
     }
-    boolean planned = !old.equals(to) && from.equals(cluster.nodeAddress(cluster.nodeIndex(old)));
-    long last = lastWrites.getOrDefault(shard, 0L);
-    Change change = new Change(shard, old, to, planned, last, cluster.clock.now());
+    boolean planned =
+        !previous.equals(to) && from.equals(cluster.nodeAddress(cluster.nodeIndex(previous)));
+    long lastWriteAt = lastWrites.getOrDefault(shard, 0L);
+    Change change = new Change(shard, previous, to, planned, lastWriteAt, cluster.clock.now());
     changes.add(change);
-    open.put(shard, change);
-    tell(Step.RECORDED, change);
+    pendingChanges.put(shard, change);
+    notifyListeners(Step.RECORDED, change);
   }
 
-  private void given(String shard, String key, JsonNode data) {
+  private void recordTransfer(String shard, String key, JsonNode data) {
     if (key.startsWith(BLOCKS)) {
-      String was = shardsOfBlocks.put(key, data.path("shard").asText());
-      boolean moved = !data.path("shard").asText().equals(was == null ? shard : was);
-      blocksGiven += moved ? 1 : 0;
+      String previousShard = shardsOfBlocks.put(key, data.path("shard").asText());
+      boolean moved =
+          !data.path("shard").asText().equals(previousShard == null ? shard : previousShard);
+      blocksTransferred += moved ? 1 : 0;
       if (moved) {
-        givings.forEach(each -> each.accept(shard));
+        transferListeners.forEach(each -> each.accept(shard));
       }
     } else if (key.startsWith(SHARES)) {
-      sharesGiven++;
-      givings.forEach(each -> each.accept(shard));
+      sharesTransferred++;
+      transferListeners.forEach(each -> each.accept(shard));
     }
   }
 
-  private void tell(Step step, Change change) {
-    listeners.forEach(each -> each.step(step, change));
+  private void notifyListeners(Step step, Change change) {
+    listeners.forEach(each -> each.onStep(step, change));
   }
 }
--- a/src/test/java/dunlincroft/sim/PairsTest.java
+++ b/src/test/java/dunlincroft/sim/PairsTest.java
@@ -30,7 +30,7 @@
   private static final long OVER_MS = FIRST_MS + PAIRS_A_DAY * PAIR_MS + 40_000;
 
   /** A trouble at its time. */
-  private record Planned(long at, Trouble trouble, long ms) {
+  private record Planned(long at, InjectedFault trouble, long ms) {
     @Override
     public String toString() {
       return trouble + " at " + at + " for " + ms;
@@ -46,10 +46,10 @@
   private static int orderedLater;
   private static long latestMs;
 
-  private static void count(CancelledStarts starts) {
+  private static void count(StartsAfterCancellation starts) {
     inFlight += starts.inFlight;
-    orderedLater += starts.leftAfter;
-    latestMs = Math.max(latestMs, starts.latestMs);
+    orderedLater += starts.sentAfterConfirmation;
+    latestMs = Math.max(latestMs, starts.maxDelayMs);
   }
 
   static LongStream days() {
@@ -60,13 +60,13 @@
   /** Each day takes the next pairs of all, in an order that goes through every one. */
   private static List<Planned> plan(long seed) {
     Random random = new Random(seed * 7919);
-    Trouble[] all = Trouble.values();
+    InjectedFault[] all = InjectedFault.values();
     List<Planned> plan = new ArrayList<>();
     for (int i = 0; i < PAIRS_A_DAY; i++) {
       // 251 and the number of pairs have no divisor in common.
       long pair = (seed * PAIRS_A_DAY + i) * 251 % (all.length * all.length);
-      Trouble one = all[(int) (pair / all.length)];
-      Trouble two = all[(int) (pair % all.length)];
+      InjectedFault one = all[(int) (pair / all.length)];
+      InjectedFault two = all[(int) (pair % all.length)];
       long at = FIRST_MS + i * PAIR_MS + random.nextInt(3000);
       long ms = 2000 + random.nextInt(random.nextBoolean() ? 6000 : 26_000);
       boolean atItsEnd = random.nextBoolean();
@@ -74,7 +74,7 @@
       plan.add(new Planned(at, one, ms));
       plan.add(new Planned(then, two, 2000 + random.nextInt(20_000)));
       if (random.nextInt(3) == 0) {
-        Trouble three = all[random.nextInt(all.length)];
+        InjectedFault three = all[random.nextInt(all.length)];
         plan.add(new Planned(then + random.nextInt(4000), three, 2000 + random.nextInt(12_000)));
       }
       PLAYED.merge(one + " " + two, 1, Integer::sum);
@@ -90,7 +90,7 @@
     return JobSpec.parse(
         Cbor.map()
             .put("ref", "run-" + number)
-            .put("jobclass", kind == 1 ? SimWorker.APART : daemon ? "serve" : "copy")
+            .put("jobclass", kind == 1 ? SimWorker.STAGGERED_CLASS : daemon ? "serve" : "copy")
             .put("owner", random.nextInt(4) == 0 ? "red" : "blue")
             .put("shape", daemon ? "daemon" : "batch")
             .put("rank", daemon ? "prod" : random.nextBoolean() ? "normal" : "idle")
@@ -113,24 +113,26 @@
     Policy policy = seed % 4 == 0 ? Policy.parse("holder_machines = 12;") : Policy.DEFAULT;
     SimCluster cluster = new SimCluster(seed, policy, seed % 3 == 0 ? Size.SMALL : Size.FLEET);
     Random random = new Random(seed);
-    cluster.checks.troublesOver(OVER_MS);
+    cluster.checks.setFaultsEnd(OVER_MS);
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = job(random, i);
       boolean cancelled = spec.isService() || random.nextInt(3) == 0;
       long after = cancelled ? 2000 + random.nextInt(120_000) : 0;
-      cluster.clock.after(5000 + random.nextInt(190_000), () -> cluster.user(spec, after));
+      cluster.clock.after(
+          5000 + random.nextInt(190_000), () -> cluster.submitAndFollow(spec, after));
     }
     for (Planned each : plan) {
-      cluster.clock.after(each.at, () -> each.trouble.strike(cluster, each.ms));
+      cluster.clock.after(each.at, () -> each.trouble.inject(cluster, each.ms));
     }
     cluster.clock.runUntil(700_000);
     return cluster;
   }
 
   private static List<String> faults(SimCluster cluster) {
-    List<String> faults = new ArrayList<>(cluster.checks.broken);
-    if (cluster.checks.toldFinal.size() < cluster.jobs()) {
-      faults.add((cluster.jobs() - cluster.checks.toldFinal.size()) + " jobs never ended");
+    List<String> faults = new ArrayList<>(cluster.checks.violations);
+    if (cluster.checks.finalStates.size() < cluster.submittedJobs()) {
+      faults.add(
+          (cluster.submittedJobs() - cluster.checks.finalStates.size()) + " jobs never ended");
     }
     return faults;
   }
@@ -153,7 +155,7 @@
   void rulesHoldWhenTroublesMeet(long seed) throws MalformedException {
     List<Planned> plan = plan(seed);
     SimCluster cluster = play(seed, plan);
-    count(cluster.checks.cancelledStarts);
+    count(cluster.checks.startsAfterCancellation);
     List<String> faults = faults(cluster);
     assertThat(faults)
         .as("day %d, at least by %s", seed, faults.isEmpty() ? "" : shrink(seed, plan))
@@ -162,7 +164,7 @@
 
   @AfterAll
   static void saysWhatWasPlayed() {
-    int all = Trouble.values().length * Trouble.values().length;
+    int all = InjectedFault.values().length * InjectedFault.values().length;
     System.out.printf(
         "pairs of troubles: %d of %d played, %d times in all%n",
         PLAYED.size(), all, PLAYED.values().stream().mapToInt(n -> n).sum());
--- a/src/test/java/dunlincroft/sim/RefusalTest.java
+++ b/src/test/java/dunlincroft/sim/RefusalTest.java
@@ -5,7 +5,7 @@
 import dunlincroft.Constants;
 import dunlincroft.protocol.JobSpec;
 import dunlincroft.protocol.MalformedException;
-import dunlincroft.sim.OddRequests.Impossible;
+import dunlincroft.sim.UnusualRequests.Infeasibility;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -16,46 +16,47 @@
  * Jobs that fit no machine or lack a field are refused and the error says why, also while the list
  * of machine types is late; none is accepted, and no accepted job is refused.
  */
-class RefusalTest extends MeetingScenario {
+class RefusalTest extends OverlappingFaultsScenario {
   private static final int NO_ANSWER = 0;
   private static final long END_MS = 420_000;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void oddRequestsBesideABusyDay(long seed) throws MalformedException {
-    SimCluster cluster = busy(seed);
+    SimCluster cluster = busyCluster(seed);
     cluster.clock.runUntil(10_000);
-    cluster.oddRequests.during(100_000);
-    cluster.closeLooks.look(100_000);
+    cluster.unusualRequests.enableFor(100_000);
+    cluster.requestBursts.enableFor(100_000);
     cluster.clock.runUntil(115_000);
-    assertThat(cluster.oddRequests.impossible.get(422)).isGreaterThan(150);
-    assertThat(cluster.oddRequests.impossible).containsOnlyKeys(422);
-    assertThat(cluster.oddRequests.lacking.get(400)).isGreaterThan(150);
-    assertThat(cluster.oddRequests.lacking).containsOnlyKeys(400);
-    assertThat(cluster.oddRequests.cancelsOfDone).isGreaterThan(100);
-    assertThat(cluster.oddRequests.repeated).isGreaterThan(100);
-    holds(cluster, END_MS);
+    assertThat(cluster.unusualRequests.infeasible.get(422)).isGreaterThan(150);
+    assertThat(cluster.unusualRequests.infeasible).containsOnlyKeys(422);
+    assertThat(cluster.unusualRequests.missingField.get(400)).isGreaterThan(150);
+    assertThat(cluster.unusualRequests.missingField).containsOnlyKeys(400);
+    assertThat(cluster.unusualRequests.cancelsOfDone).isGreaterThan(100);
+    assertThat(cluster.unusualRequests.repeatedSubmissions).isGreaterThan(100);
+    runAndVerify(cluster, END_MS);
   }
 
   /** No controller knows the types: what only they can tell is answered 503. */
   @ParameterizedTest
-  @EnumSource(Impossible.class)
-  void whatCannotBeToldYetIsAnswered503(Impossible why) throws MalformedException {
-    SimCluster cluster = busy(3);
+  @EnumSource(Infeasibility.class)
+  void whatCannotBeToldYetIsAnswered503(Infeasibility why) throws MalformedException {
+    SimCluster cluster = busyCluster(3);
     cluster.cutCloud(20_000);
     for (long at = 4000; at < 18_000; at += 2000) {
       cluster.clock.runUntil(at);
       for (int node = 0; node < cluster.nodeCount(); node++) {
-        cluster.oddRequests.impossible(node, why);
-        cluster.oddRequests.lacking(node, OddRequests.REQUIRED.get((int) (at / 2000)));
+        cluster.unusualRequests.infeasible(node, why);
+        cluster.unusualRequests.missingField(node, UnusualRequests.REQUIRED.get((int) (at / 2000)));
       }
     }
     assertThat(cluster.checks.accepted).as("accepted without any type").isEmpty();
-    assertThat(cluster.oddRequests.impossible).containsOnlyKeys(why.byTeam() ? 422 : 503);
-    assertThat(cluster.oddRequests.lacking).containsOnlyKeys(400);
+    assertThat(cluster.unusualRequests.infeasible)
+        .containsOnlyKeys(why.dependsOnlyOnTeam() ? 422 : 503);
+    assertThat(cluster.unusualRequests.missingField).containsOnlyKeys(400);
     cluster.clock.runUntil(90_000);
-    assertThat(cluster.checks.broken).isEmpty();
-    assertThat(cluster.checks.accepted).as("accepted later").hasSize(cluster.jobs());
+    assertThat(cluster.checks.violations).isEmpty();
+    assertThat(cluster.checks.accepted).as("accepted later").hasSize(cluster.submittedJobs());
   }
 
   /**
@@ -66,16 +67,16 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void acceptedJobsAreKnownWhereTheTypesLag(long seed) throws MalformedException {
-    SimCluster cluster = busy(seed);
-    cluster.clock.runUntil(AT_MS);
-    cluster.cloud.listedCpus = 2 * SimCluster.CPUS;
-    cluster.clock.runUntil(AT_MS + Constants.MACHINE_TYPES_REFRESH_MS + 2000);
-    JobSpec large = RulesTest.simple("run-large", "blue", 2, SimCluster.CPUS + 4);
-    String leader = cluster.state.under("d/leader/").get("one").path("name").asText();
-    cluster.declare(large);
-    cluster.closeLooks.cancelledAtOnce = 0;
-    cluster.closeLooks.look(20_000);
-    cluster.closeLooks.submit(cluster.nodeIndex(leader), large);
+    SimCluster cluster = busyCluster(seed);
+    cluster.clock.runUntil(FAULTS_AT_MS);
+    cluster.cloud.listedCpus = 2 * SimCluster.CPUS_PER_MACHINE;
+    cluster.clock.runUntil(FAULTS_AT_MS + Constants.MACHINE_TYPES_REFRESH_MS + 2000);
+    JobSpec large = RulesTest.simple("run-large", "blue", 2, SimCluster.CPUS_PER_MACHINE + 4);
+    String leader = cluster.state.dataUnder("d/leader/").get("one").path("name").asText();
+    cluster.followWithoutSubmitting(large);
+    cluster.requestBursts.cancelAtAcceptanceShare = 0;
+    cluster.requestBursts.enableFor(20_000);
+    cluster.requestBursts.submit(cluster.nodeIndex(leader), large);
     long submitted = cluster.clock.now();
     while (!cluster.checks.accepted.contains("run-large")) {
       cluster.clock.runUntil(cluster.clock.now() + 1);
@@ -84,20 +85,22 @@
     // A question of the same millisecond would not count as a later one.
     cluster.clock.runUntil(cluster.clock.now() + 1);
     for (int node = 0; node < cluster.nodeCount(); node++) {
-      cluster.closeLooks.submit(node, large);
+      cluster.requestBursts.submit(node, large);
     }
     cluster.clock.runUntil(cluster.clock.now() + 2000);
     for (int node = 0; node < cluster.nodeCount(); node++) {
       if (node != cluster.nodeIndex(leader)) {
-        cluster.oddRequests.impossible(node, Impossible.TOO_MANY_CPUS);
+        cluster.unusualRequests.infeasible(node, Infeasibility.TOO_MANY_CPUS);
       }
     }
     cluster.clock.runUntil(cluster.clock.now() + 2000);
-    assertThat(cluster.oddRequests.impossible).as("nodes whose types lag").containsEntry(422, 4);
+    assertThat(cluster.unusualRequests.infeasible)
+        .as("nodes whose types lag")
+        .containsEntry(422, 4);
     cluster.cancel(large);
     cluster.clock.runUntil(cluster.clock.now() + 15_000);
-    assertThat(cluster.checks.broken).isEmpty();
-    assertThat(cluster.checks.toldFinal).containsEntry("run-large", "withdrawn");
+    assertThat(cluster.checks.violations).isEmpty();
+    assertThat(cluster.checks.finalStates).containsEntry("run-large", "withdrawn");
   }
 
   /**
@@ -108,23 +111,23 @@
   void acceptedJobsAreKnownWhereNoTypesAre() throws MalformedException {
     int alone = 0;
     for (int knows = 0; knows < 5; knows++) {
-      SimCluster cluster = busy(knows + 1);
+      SimCluster cluster = busyCluster(knows + 1);
       for (int node = 0; node < cluster.nodeCount(); node++) {
         if (node != knows) {
           cluster.cutFromCloud(node, 25_000);
         }
       }
-      cluster.closeLooks.look(25_000);
+      cluster.requestBursts.enableFor(25_000);
       cluster.clock.runUntil(15_000);
       int accepted = cluster.checks.accepted.size();
       for (int node = 0; node < cluster.nodeCount(); node++) {
-        cluster.oddRequests.impossible(node, Impossible.TOO_MANY_CPUS);
+        cluster.unusualRequests.infeasible(node, Infeasibility.TOO_MANY_CPUS);
       }
       cluster.clock.runUntil(17_000);
-      boolean others = cluster.oddRequests.impossible.getOrDefault(503, 0) == 4;
+      boolean others = cluster.unusualRequests.infeasible.getOrDefault(503, 0) == 4;
       alone += others && accepted > 5 ? 1 : 0;
       cluster.clock.runUntil(60_000);
-      assertThat(cluster.checks.broken).isEmpty();
+      assertThat(cluster.checks.violations).isEmpty();
     }
     assertThat(alone).as("days on which one node alone knew the types").isGreaterThan(2);
   }
@@ -132,27 +135,27 @@
   /** A list that promises too much lets jobs in that fit no machine: the checks see it. */
   @Test
   void jobsThatFitNoMachineAreSeenWhenAccepted() throws MalformedException {
-    SimCluster cluster = busy(1);
-    cluster.cloud.listedCpus = 2 * SimCluster.CPUS;
+    SimCluster cluster = busyCluster(1);
+    cluster.cloud.listedCpus = 2 * SimCluster.CPUS_PER_MACHINE;
     cluster.clock.runUntil(10_000);
-    cluster.oddRequests.impossible(1, Impossible.TOO_MANY_CPUS);
+    cluster.unusualRequests.infeasible(1, Infeasibility.TOO_MANY_CPUS);
     cluster.clock.runUntil(12_000);
-    assertThat(cluster.checks.broken).hasSize(1).first().asString().contains("accepted_odd");
+    assertThat(cluster.checks.violations).hasSize(1).first().asString().contains("accepted_odd");
   }
 
   /** What the checks ask of an answer to what must be refused. */
   @Test
   void unclearRefusalsAreSeen() throws MalformedException {
-    SimCluster cluster = busy(1);
-    cluster.checks.refused("run-a", "no owner", 400, 400, true);
-    cluster.checks.refused("run-b", "no owner", 400, 503, true);
-    cluster.checks.refused("run-c", "no owner", 400, NO_ANSWER, false);
-    assertThat(cluster.checks.broken).isEmpty();
-    cluster.checks.refused("run-d", "no owner", 400, 422, true);
-    cluster.checks.refused("run-e", "no owner", 400, 400, false);
-    cluster.checks.refused("run-f", "UNKNOWN_TEAM", 422, 404, true);
-    cluster.checks.refused("run-g", "no owner", 400, 201, true);
-    assertThat(cluster.checks.broken).hasSize(4);
+    SimCluster cluster = busyCluster(1);
+    cluster.checks.onRefusal("run-a", "no owner", 400, 400, true);
+    cluster.checks.onRefusal("run-b", "no owner", 400, 503, true);
+    cluster.checks.onRefusal("run-c", "no owner", 400, NO_ANSWER, false);
+    assertThat(cluster.checks.violations).isEmpty();
+    cluster.checks.onRefusal("run-d", "no owner", 400, 422, true);
+    cluster.checks.onRefusal("run-e", "no owner", 400, 400, false);
+    cluster.checks.onRefusal("run-f", "UNKNOWN_TEAM", 422, 404, true);
+    cluster.checks.onRefusal("run-g", "no owner", 400, 201, true);
+    assertThat(cluster.checks.violations).hasSize(4);
     assertThat(Set.copyOf(cluster.checks.accepted)).isEmpty();
   }
 }
--- a/src/test/java/dunlincroft/sim/RoomTest.java
+++ b/src/test/java/dunlincroft/sim/RoomTest.java
@@ -44,7 +44,7 @@
   }
 
   private static List<SimWorker> in(SimCluster cluster, String zone) {
-    return cluster.cloud.machines.values().stream().filter(each -> each.hall.equals(zone)).toList();
+    return cluster.cloud.machines.values().stream().filter(each -> each.zone.equals(zone)).toList();
   }
 
   /** Replicas that do not run on other machines than these. */
@@ -70,10 +70,10 @@
     for (int i = 0; i < 36; i++) {
       JobSpec spec = job("run-s" + i, true, 2 + i % 2, 4, 14);
       services.add(spec);
-      cluster.clock.after(25_000 + 100L * i, () -> cluster.user(spec, 400_000));
+      cluster.clock.after(25_000 + 100L * i, () -> cluster.submitAndFollow(spec, 400_000));
     }
     JobSpec many = job("run-many", false, 6000, 1, 0.5);
-    cluster.clock.after(3000, () -> cluster.user(many, 380_000));
+    cluster.clock.after(3000, () -> cluster.submitAndFollow(many, 380_000));
     cluster.clock.runUntil(CUT_MS);
     assertThat(cluster.cloud.machines).hasSizeGreaterThan(Size.FLEET.machines() - 5);
     // A few are stopped by the limits of the moment; those that are whole are looked at.
@@ -82,10 +82,10 @@
     // The smaller one of those without the holder.
     String zone =
         SimCluster.ZONES.stream()
-            .filter(each -> !each.equals(cluster.zoneOfTheHolder()))
+            .filter(each -> !each.equals(cluster.ownerZone()))
             .min(Comparator.comparingInt(each -> in(cluster, each).size()))
             .orElseThrow();
-    cluster.cloud.refused.addAll(SimCluster.ZONES);
+    cluster.cloud.zonesWithoutCapacity.addAll(SimCluster.ZONES);
     List<SimWorker> cut = in(cluster, zone);
     int hit = missing(cluster, services, cut);
     assertThat(hit).isGreaterThan(7);
@@ -94,6 +94,6 @@
     cluster.clock.runUntil(CUT_MS + cluster.leaseMs);
     assertThat(missing(cluster, services, cut)).isZero();
     cluster.clock.runUntil(150_000);
-    assertThat(cluster.checks.broken).isEmpty();
+    assertThat(cluster.checks.violations).isEmpty();
   }
 }
--- a/src/test/java/dunlincroft/sim/RulesTest.java
+++ b/src/test/java/dunlincroft/sim/RulesTest.java
@@ -62,22 +62,23 @@
     Random random = new Random(seed * 31);
     cluster.net.loss = faults ? 0.01 : 0;
     cluster.state.ignoreGuards = !guards;
-    cluster.state.keep = faults && seed % 2 == 0 ? 60 : 10_000;
+    cluster.state.maxChanges = faults && seed % 2 == 0 ? 60 : 10_000;
     for (int i = 0; i < size.jobs(); i++) {
       JobSpec spec = job(random, i);
       boolean broken = faults && !spec.isService() && random.nextInt(10) == 0;
       if (broken) {
-        cluster.broken.add(spec.ref());
+        cluster.failingJobs.add(spec.ref());
       }
       long cancelAfter =
           broken || random.nextInt(6) == 0 || spec.isService() ? 1000 + random.nextInt(200_000) : 0;
-      cluster.clock.after(5000 + random.nextInt(200_000), () -> cluster.user(spec, cancelAfter));
+      cluster.clock.after(
+          5000 + random.nextInt(200_000), () -> cluster.submitAndFollow(spec, cancelAfter));
     }
-    cluster.flood = () -> flood(cluster, random);
-    cluster.checks.troublesOver(FAULTS_UNTIL_MS + LONGEST_FAULT_MS);
+    cluster.submitGuestJobs = () -> flood(cluster, random);
+    cluster.checks.setFaultsEnd(FAULTS_UNTIL_MS + LONGEST_FAULT_MS);
     if (faults) {
       for (long at = 15_000; at < FAULTS_UNTIL_MS; at += 4000 + random.nextInt(15_000)) {
-        cluster.clock.after(at, cluster::fault);
+        cluster.clock.after(at, cluster::injectRandomFault);
       }
     }
     cluster.clock.runUntil(END_MS + 6000L * (size.jobs() - Size.SMALL.jobs()));
@@ -88,8 +89,9 @@
   private static void flood(SimCluster cluster, Random random) {
     boolean many = random.nextBoolean();
     for (int i = 0; i < (many ? 24 : 1); i++) {
-      JobSpec spec = simple("run-g" + cluster.jobs(), "blue", many ? 1 : 60, many ? 0.25 : 2);
-      cluster.clock.after(i * 100L, () -> cluster.user(spec, 0));
+      JobSpec spec =
+          simple("run-g" + cluster.submittedJobs(), "blue", many ? 1 : 60, many ? 0.25 : 2);
+      cluster.clock.after(i * 100L, () -> cluster.submitAndFollow(spec, 0));
     }
   }
 
@@ -143,12 +145,12 @@
   }
 
   private static void everyRuleHolds(SimCluster cluster) {
-    assertThat(cluster.checks.broken).isEmpty();
+    assertThat(cluster.checks.violations).isEmpty();
     assertThat(cluster.checks.starts).isGreaterThan(cluster.size.jobs());
-    assertThat(cluster.checks.accepted).hasSize(cluster.jobs());
-    assertThat(cluster.checks.toldFinal)
+    assertThat(cluster.checks.accepted).hasSize(cluster.submittedJobs());
+    assertThat(cluster.checks.finalStates)
         .as("every job ends once the faults are over")
-        .hasSize(cluster.jobs());
+        .hasSize(cluster.submittedJobs());
   }
 
   /** Three lease holders at a handful of machines: blocks, shares and shards change hands. */
@@ -157,8 +159,8 @@
   void rulesHoldWithSeveralLeaseHolders(long seed) throws MalformedException {
     SimCluster cluster = play(seed, true, true, Policy.parse("holder_machines = 1;"));
     everyRuleHolds(cluster);
-    assertThat(cluster.state.under("d/leases/").get("one").path("holders")).hasSize(3);
-    assertThat(cluster.state.under("d/shares/").values())
+    assertThat(cluster.state.dataUnder("d/leases/").get("one").path("holders")).hasSize(3);
+    assertThat(cluster.state.dataUnder("d/shares/").values())
         .as("shares were handed on")
         .anyMatch(share -> share.size() > 1);
   }
@@ -186,8 +188,8 @@
   @Test
   void quietDayEndsEveryJob() throws MalformedException {
     SimCluster cluster = play(100, false, true, Policy.DEFAULT);
-    assertThat(cluster.checks.broken).isEmpty();
-    assertThat(cluster.checks.toldFinal).hasSize(Size.SMALL.jobs());
+    assertThat(cluster.checks.violations).isEmpty();
+    assertThat(cluster.checks.finalStates).hasSize(Size.SMALL.jobs());
   }
 
   /**
@@ -197,7 +199,7 @@
   @Test
   void aHolderCutOffLosesNoMachine() throws MalformedException {
     SimCluster cluster = busy();
-    cluster.clock.after(30_000, () -> cluster.cutHolder(25_000));
+    cluster.clock.after(30_000, () -> cluster.cutOwnerFromState(25_000));
     losesNoMachine(cluster, 75_000);
   }
 
@@ -206,16 +208,16 @@
     Random random = new Random(7);
     for (int i = 0; i < 200; i++) {
       JobSpec spec = job(random, i);
-      cluster.clock.after(5000 + 20 * i, () -> cluster.user(spec, 0));
+      cluster.clock.after(5000 + 20 * i, () -> cluster.submitAndFollow(spec, 0));
     }
     return cluster;
   }
 
   private static void losesNoMachine(SimCluster cluster, long until) {
     cluster.clock.runUntil(until);
-    assertThat(cluster.checks.broken).isEmpty();
+    assertThat(cluster.checks.violations).isEmpty();
     assertThat(cluster.cloud.machines).as("machines were hired").hasSizeGreaterThan(8);
-    assertThat(cluster.cloud.tasksReleased).isZero();
+    assertThat(cluster.cloud.tasksLostToRelease).isZero();
   }
 
   /**
@@ -226,7 +228,7 @@
   @ValueSource(longs = {1000, 5000, 8000, 15_000, 40_000})
   void aHolderThatStoodStillLosesNoMachine(long ms) throws MalformedException {
     SimCluster cluster = busy();
-    cluster.clock.after(30_000, () -> cluster.freezeHolder(ms));
+    cluster.clock.after(30_000, () -> cluster.pauseOwner(ms));
     losesNoMachine(cluster, 90_000);
   }
 
@@ -242,11 +244,11 @@
         30_000,
         () -> {
           silent[0] = cluster.cloud.machines.firstEntry().getValue();
-          cluster.cutOff(silent[0], 6000);
+          cluster.cutWorkerFromControllers(silent[0], 6000);
         });
-    cluster.clock.after(31_200, () -> cluster.freezeAll(2800));
+    cluster.clock.after(31_200, () -> cluster.pauseAll(2800));
     cluster.clock.runUntil(37_000);
-    assertThat(silent[0].gone).isFalse();
+    assertThat(silent[0].terminated).isFalse();
     losesNoMachine(cluster, 75_000);
   }
 
@@ -255,7 +257,7 @@
   void aSilentHolderIsSucceededSoon() throws MalformedException {
     SimCluster cluster = busy();
     cluster.clock.runUntil(30_000);
-    cluster.silenceHolder(70_000);
+    cluster.crashOwnerSilently(70_000);
     cluster.clock.runUntil(31_000);
     int before = cluster.checks.starts;
     cluster.clock.runUntil(34_000);
@@ -270,18 +272,18 @@
   @Test
   void roomForAGuaranteeIsMadeInOnePlace() throws MalformedException {
     SimCluster cluster = new SimCluster(5, Policy.DEFAULT, Size.SMALL);
-    cluster.cloud.most = 5;
+    cluster.cloud.maxMachines = 5;
     JobSpec guests = simple("run-guests", "blue", 200, 1, 300, 20);
     JobSpec guaranteed = simple("run-red", "red", 5, 4, 15, 0);
-    cluster.clock.after(2000, () -> cluster.user(guests, 0));
+    cluster.clock.after(2000, () -> cluster.submitAndFollow(guests, 0));
     cluster.clock.runUntil(30_000);
     int before = cluster.checks.starts;
-    assertThat(before).isEqualTo(5 * SimCluster.CPUS);
-    cluster.user(guaranteed, 0);
+    assertThat(before).isEqualTo(5 * SimCluster.CPUS_PER_MACHINE);
+    cluster.submitAndFollow(guaranteed, 0);
     cluster.clock.runUntil(60_000);
-    assertThat(cluster.checks.completed.get("run-red")).hasSize(5);
-    assertThat(cluster.checks.stopped).isBetween(20, 24);
-    assertThat(cluster.checks.broken).isEmpty();
+    assertThat(cluster.checks.completedTasks.get("run-red")).hasSize(5);
+    assertThat(cluster.checks.stoppedTasks).isBetween(20, 24);
+    assertThat(cluster.checks.violations).isEmpty();
   }
 
   /** Arrays that fail everywhere: known for it soon, whoever holds them, and no machine's fault. */
@@ -292,15 +294,16 @@
       JobSpec spec = simple("run-" + i, i < 4 ? "red" : "blue", 30, 1);
       boolean broken = i % 3 == 0;
       if (broken) {
-        cluster.broken.add(spec.ref());
+        cluster.failingJobs.add(spec.ref());
       }
-      cluster.clock.after(2000 + 2000L * i, () -> cluster.user(spec, broken ? 150_000 : 0));
+      cluster.clock.after(
+          2000 + 2000L * i, () -> cluster.submitAndFollow(spec, broken ? 150_000 : 0));
     }
-    cluster.clock.after(60_000, () -> cluster.silenceHolder(30_000));
+    cluster.clock.after(60_000, () -> cluster.crashOwnerSilently(30_000));
     cluster.clock.runUntil(240_000);
-    assertThat(cluster.checks.broken).isEmpty();
-    assertThat(cluster.checks.toldFinal).hasSize(12);
-    assertThat(cluster.checks.brokenTries).as("of 4 jobs with 120 tasks").isBetween(12, 200);
+    assertThat(cluster.checks.violations).isEmpty();
+    assertThat(cluster.checks.finalStates).hasSize(12);
+    assertThat(cluster.checks.failingAttempts).as("of 4 jobs with 120 tasks").isBetween(12, 200);
   }
 
   /** The checks can fail: some of these days break rules once the service ignores all guards. */
@@ -308,7 +311,7 @@
   void checksFindWhatBrokenGuardsLetThrough() throws MalformedException {
     List<String> broken = List.of();
     for (long seed = 1; broken.isEmpty() && seed <= 60; seed++) {
-      broken = play(seed, true, false, Policy.DEFAULT).checks.broken;
+      broken = play(seed, true, false, Policy.DEFAULT).checks.violations;
     }
     assertThat(broken).isNotEmpty();
   }
--- a/src/test/java/dunlincroft/sim/ScarceRequestsTest.java
+++ b/src/test/java/dunlincroft/sim/ScarceRequestsTest.java
@@ -14,7 +14,7 @@
  * The state service's requests are few, while it would take many more changes than come: watches
  * and the barriers of polls ask without end, and must leave requests for what changes something.
  */
-class ScarceRequestsTest extends MeetingScenario {
+class ScarceRequestsTest extends OverlappingFaultsScenario {
   private static final double RPS = 20;
   private static final double WRITE_RPS = 60;
   private static final int JOBS = 80;
@@ -28,14 +28,14 @@
       JobSpec spec = PairsTest.job(random, i);
       jobs.add(spec);
       long cancelAfterMs = spec.isService() ? 150_000 : 0;
-      cluster.clock.after(5000 + EACH_MS * i, () -> cluster.user(spec, cancelAfterMs));
+      cluster.clock.after(5000 + EACH_MS * i, () -> cluster.submitAndFollow(spec, cancelAfterMs));
     }
     return cluster;
   }
 
   /** Nearly all requests were used. */
   private static void assertScarce(SimCluster cluster, int before, int seconds) {
-    assertThat(cluster.state.requests - before)
+    assertThat(cluster.state.requestCount - before)
         .as("requests were scarce")
         .isGreaterThan((int) (0.8 * RPS * seconds));
   }
@@ -46,11 +46,11 @@
   void jobsAreAcceptedThoughReadingsCouldTakeAllRequests(long seed) throws MalformedException {
     SimCluster cluster = jobsCome(seed);
     cluster.clock.runUntil(20_000);
-    int before = cluster.state.requests;
+    int before = cluster.state.requestCount;
     cluster.clock.runUntil(50_000);
     assertScarce(cluster, before, 30);
     assertThat(cluster.checks.accepted).as("accepted").hasSizeGreaterThan(JOBS - 8);
-    holds(cluster);
+    runAndVerify(cluster);
   }
 
   /** The holder crashes in it, and comes back. */
@@ -58,16 +58,16 @@
   @ValueSource(longs = {4, 5})
   void aHolderEndsWhileRequestsAreScarce(long seed) throws MalformedException {
     SimCluster cluster = jobsCome(seed);
-    cluster.checks.troublesOver(100_000);
+    cluster.checks.setFaultsEnd(100_000);
     cluster.clock.runUntil(30_000);
-    String old = cluster.holderName();
-    int before = cluster.state.requests;
-    cluster.crashHolder(10_000);
+    String old = cluster.ownerName();
+    int before = cluster.state.requestCount;
+    cluster.crashOwner(10_000);
     cluster.clock.runUntil(45_000);
     assertScarce(cluster, before, 15);
-    assertThat(cluster.holderName()).isNotEqualTo(old);
+    assertThat(cluster.ownerName()).isNotEqualTo(old);
     cluster.clock.runUntil(70_000);
     assertThat(cluster.checks.accepted).as("accepted").hasSizeGreaterThan(JOBS - 8);
-    holds(cluster);
+    runAndVerify(cluster);
   }
 }
--- a/src/test/java/dunlincroft/sim/ScarcityTest.java
+++ b/src/test/java/dunlincroft/sim/ScarcityTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Room is scarce: for all work at once, or in the one zone that a job may run in. */
-class ScarcityTest extends MeetingScenario {
+class ScarcityTest extends OverlappingFaultsScenario {
   private static final String ZONE = "b";
 
   /** Two tasks' time, and a change of the leader with its sync over slow links. */
@@ -53,11 +53,11 @@
   }
 
   private static void send(SimCluster cluster, long atMs, JobSpec spec, long cancelAfterMs) {
-    cluster.clock.after(atMs, () -> cluster.user(spec, cancelAfterMs));
+    cluster.clock.after(atMs, () -> cluster.submitAndFollow(spec, cancelAfterMs));
   }
 
   private static long medianWait(SimCluster cluster, List<JobSpec> of) {
-    List<Long> waits = of.stream().map(spec -> cluster.checks.beganAfter(spec.ref())).toList();
+    List<Long> waits = of.stream().map(spec -> cluster.checks.startDelayMs(spec.ref())).toList();
     return waits.stream().sorted().skip(waits.size() / 2).findFirst().orElseThrow();
   }
 
@@ -69,10 +69,10 @@
   @CsvSource({"1,0", "2,4000", "4,15000"})
   void moreWorkThanRoomOverSlowLinks(long seed, long offMs) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
-    cluster.cloud.most = 12;
-    cluster.checks.troublesOver(180_000);
+    cluster.cloud.maxMachines = 12;
+    cluster.checks.setFaultsEnd(180_000);
     for (int node = 0; node < cluster.nodeCount(); node++) {
-      cluster.net.slow(cluster.nodeAddress(node), 40);
+      cluster.net.setDelayFactor(cluster.nodeAddress(node), 40);
     }
     Random random = new Random(seed);
     List<JobSpec> urgent = new ArrayList<>();
@@ -98,12 +98,14 @@
       cluster.clock.after(
           42_000 + offMs + 13_000L * i,
           () -> {
-            leaders.add(cluster.holderName());
-            lives.add(cluster.holderLife());
+            leaders.add(cluster.ownerName());
+            lives.add(cluster.ownerIncarnation());
             long free =
-                cluster.cloud.machines.values().stream().mapToLong(w -> w.free().cpu()).sum();
+                cluster.cloud.machines.values().stream()
+                    .mapToLong(w -> w.freeCapacity().cpu())
+                    .sum();
             full[0] += cluster.cloud.machines.size() == 12 && free < 12 * 4000 ? 1 : 0;
-            cluster.crashHolder(atOnce ? 200 : 12_000);
+            cluster.crashOwner(atOnce ? 200 : 12_000);
           });
     }
     cluster.clock.runUntil(180_000);
@@ -114,13 +116,13 @@
     assertThat(full[0]).as("changes of leader while all machines were full").isGreaterThan(2);
     assertThat(urgent)
         .as("urgent work begins soon")
-        .allMatch(spec -> cluster.checks.beganAfter(spec.ref()) < URGENT_BEGINS_MS);
+        .allMatch(spec -> cluster.checks.startDelayMs(spec.ref()) < URGENT_BEGINS_MS);
     assertThat(medianWait(cluster, urgent) * 2)
         .as("before the rest")
         .isLessThan(medianWait(cluster, beside));
-    holds(cluster);
-    assertThat(cluster.checks.largestLate()).isEmpty();
-    assertThat(cluster.checks.leastDone()).isEqualTo(1);
+    runAndVerify(cluster);
+    assertThat(cluster.checks.largestStartedLate()).isEmpty();
+    assertThat(cluster.checks.minDoneShare()).isEqualTo(1);
   }
 
   /** How the machines of a zone are lost. */
@@ -135,7 +137,7 @@
     jobs.forEach(spec -> refs.add(spec.ref()));
     return on.stream()
         .flatMap(worker -> worker.tasks.values().stream())
-        .filter(task -> task.on() && refs.contains(task.spec.ref()))
+        .filter(task -> task.isActive() && refs.contains(task.spec.ref()))
         .count();
   }
 
@@ -154,7 +156,7 @@
   })
   void jobsOfOneZoneLoseTheirMachines(long seed, Loss loss, long offMs) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
-    cluster.checks.troublesOver(AT_MS + 90_000);
+    cluster.checks.setFaultsEnd(FAULTS_AT_MS + 90_000);
     Random random = new Random(seed);
     List<JobSpec> bound = new ArrayList<>();
     List<JobSpec> others = new ArrayList<>();
@@ -167,19 +169,19 @@
     bound.forEach(spec -> send(cluster, 5000 + random.nextInt(25_000), spec, 0));
     others.forEach(
         spec -> send(cluster, 5000 + random.nextInt(25_000), spec, spec.isService() ? 200_000 : 0));
-    cluster.clock.runUntil(AT_MS - 10_000 + offMs);
-    cluster.cloud.refused.add(ZONE);
+    cluster.clock.runUntil(FAULTS_AT_MS - 10_000 + offMs);
+    cluster.cloud.zonesWithoutCapacity.add(ZONE);
     lose(cluster, loss, bound, others);
-    cluster.clock.after(35_000, () -> cluster.cloud.refused.clear());
-    cluster.clock.after(3000, () -> cluster.crashHolder(200));
-    cluster.clock.runUntil(AT_MS + 20_000);
+    cluster.clock.after(35_000, () -> cluster.cloud.zonesWithoutCapacity.clear());
+    cluster.clock.after(3000, () -> cluster.crashOwner(200));
+    cluster.clock.runUntil(FAULTS_AT_MS + 20_000);
     if (loss == Loss.MACHINES_DIE) {
       assertThat(tasksOf(bound, List.copyOf(cluster.cloud.machines.values())))
           .as("nowhere else")
           .isZero();
     }
-    holds(cluster);
-    assertThat(cluster.checks.leastDone()).isEqualTo(1);
+    runAndVerify(cluster);
+    assertThat(cluster.checks.minDoneShare()).isEqualTo(1);
   }
 
   /** Takes a zone's machines, and sees to it that they had tasks of the jobs that are bound. */
@@ -187,8 +189,8 @@
       SimCluster cluster, Loss loss, List<JobSpec> bound, List<JobSpec> others) {
     List<SimWorker> hit =
         cluster.cloud.machines.values().stream()
-            .filter(worker -> worker.hall.equals(ZONE))
-            .filter(worker -> loss != Loss.SPOT_WAVE || worker.cheap)
+            .filter(worker -> worker.zone.equals(ZONE))
+            .filter(worker -> loss != Loss.SPOT_WAVE || worker.spot)
             .toList();
     assertThat(tasksOf(bound, hit)).as("tasks of the zone's jobs that are lost").isGreaterThan(5);
     if (loss != Loss.SPOT_WAVE) {
@@ -198,7 +200,7 @@
       cluster.cutZone(ZONE, 40_000);
     } else {
       hit.forEach(worker -> cluster.cloud.machines.remove(worker.host));
-      hit.forEach(SimWorker::die);
+      hit.forEach(SimWorker::terminate);
     }
   }
 }
--- a/src/test/java/dunlincroft/sim/SeveralHoldersTest.java
+++ b/src/test/java/dunlincroft/sim/SeveralHoldersTest.java
@@ -47,18 +47,18 @@
     private void act(SimCluster cluster) {
       switch (this) {
         case NOTHING -> {}
-        case HOLDER_ENDS -> cluster.crashHolder(30_000);
+        case HOLDER_ENDS -> cluster.crashOwner(30_000);
         case TWO_END -> {
-          cluster.crashHolder(30_000);
+          cluster.crashOwner(30_000);
           cluster.clock.after(500, () -> cluster.crash(3, 20_000));
         }
         case ALL_BACK_AT_ONCE -> cluster.crashAll(200);
         case ZONE_CUT -> cluster.cutZone("a", 40_000);
         case MACHINES_HANG ->
             cluster.cloud.machines.values().stream().limit(8).forEach(w -> w.hang(30_000));
-        case LATE_WRITES -> cluster.lateWrites(0.4, 40_000);
-        case HOLDER_CUT_FROM_STATE -> cluster.cutHolder(25_000);
-        case LINKS_REFUSED -> cluster.refuseLinks(40_000);
+        case LATE_WRITES -> cluster.delayWrites(0.4, 40_000);
+        case HOLDER_CUT_FROM_STATE -> cluster.cutOwnerFromState(25_000);
+        case LINKS_REFUSED -> cluster.refusePeerConnections(40_000);
         case STATE_OUTAGE -> cluster.state.outage(20_000);
       }
     }
@@ -104,14 +104,15 @@
     long seed = 300 + day;
     Random random = new Random(seed);
     // Limits from a machine's worth to half of the machines: teams are at them most of the time.
-    Size size = Size.FLEET.limits(16 + random.nextInt(5) * 12, 60 + random.nextInt(4) * 60);
+    Size size = Size.FLEET.withTeamLimits(16 + random.nextInt(5) * 12, 60 + random.nextInt(4) * 60);
     SimCluster cluster =
         new SimCluster(seed, Policy.parse("holder_machines = " + 24 / holders + ";"), size);
-    cluster.checks.troublesOver(TROUBLES_OVER_MS);
+    cluster.checks.setFaultsEnd(TROUBLES_OVER_MS);
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = job(random, i);
       long cancelAfter = spec.isService() ? 60_000 + random.nextInt(250_000) : 0;
-      cluster.clock.after(5000 + random.nextInt(100_000), () -> cluster.user(spec, cancelAfter));
+      cluster.clock.after(
+          5000 + random.nextInt(100_000), () -> cluster.submitAndFollow(spec, cancelAfter));
     }
     cluster.clock.after(FAULT_MS + random.nextInt(40_000), () -> event.act(cluster));
     cluster.clock.runUntil(END_MS);
@@ -122,7 +123,7 @@
   @MethodSource("days")
   void noJobIsLeftWaitingBesideRoom(int day) throws MalformedException {
     SimCluster cluster = play(day);
-    assertThat(cluster.checks.broken).isEmpty();
-    assertThat(cluster.checks.accepted).hasSize(cluster.jobs());
+    assertThat(cluster.checks.violations).isEmpty();
+    assertThat(cluster.checks.accepted).hasSize(cluster.submittedJobs());
   }
 }
--- a/src/test/java/dunlincroft/sim/SimCloud.java
+++ b/src/test/java/dunlincroft/sim/SimCloud.java
@@ -16,92 +16,95 @@
   private final SimCluster cluster;
   final TreeMap<String, SimWorker> machines = new TreeMap<>();
   private final Map<String, Long> rentedAt = new HashMap<>();
-  private final Map<String, ObjectNode> hires = new HashMap<>();
-  private int next;
-  int most = 14;
+  private final Map<String, ObjectNode> rentals = new HashMap<>();
+  private int nextHostNumber;
+  int maxMachines = 14;
 
   /** Zones that have no machines to rent. */
-  final Set<String> refused = new HashSet<>();
+  final Set<String> zonesWithoutCapacity = new HashSet<>();
 
   /** Machines that stopped on their own. */
-  final Set<String> failed = new HashSet<>();
+  final Set<String> failedHosts = new HashSet<>();
 
   /** What the list of types says that a machine has. */
-  double listedCpus = SimCluster.CPUS;
+  double listedCpus = SimCluster.CPUS_PER_MACHINE;
 
   /** Time until a rental is answered; the machines are there before. */
-  long answerMs;
+  long answerDelayMs;
 
   /** Answers with machines to a controller that did not lead any more. */
-  int answeredToDeposed;
+  int rentalsForDeposedLeaders;
 
   /** Machines released so far. */
-  int released;
+  int releasedMachines;
 
   /** What a rented machine takes to boot; one in ten never comes up while this is long. */
   long bootMs = 2000;
 
   /** Tasks that their machines' release has cost so far. */
-  long tasksReleased;
+  long tasksLostToRelease;
 
   SimCloud(SimCluster cluster) {
     this.cluster = cluster;
   }
 
-  SimWorker rent(String hall, boolean cheap) {
-    String host = String.format("host-%06d", next++);
-    boolean never = bootMs > 10_000 && cluster.random.nextInt(10) == 0;
+  SimWorker rent(String zone, boolean spot) {
+    String host = String.format("host-%06d", nextHostNumber++);
+    boolean neverBoots = bootMs > 10_000 && cluster.random.nextInt(10) == 0;
     SimWorker worker =
-        new SimWorker(cluster, host, hall, cheap, Resources.roundedDown(SimCluster.CPUS, 0, 64));
-    if (!never) {
+        new SimWorker(
+            cluster, host, zone, spot, Resources.roundedDown(SimCluster.CPUS_PER_MACHINE, 0, 64));
+    if (!neverBoots) {
       cluster.clock.after(bootMs, worker::start);
     }
     machines.put(host, worker);
-    cluster.rented(worker);
+    cluster.onMachineRented(worker);
     rentedAt.put(host, cluster.clock.now());
     return worker;
   }
 
   /** Machines rented so far. */
-  int hired() {
+  int rentedMachines() {
     return rentedAt.size();
   }
 
   /** Machines on which no task ever began, though they were rented. */
-  int unused() {
-    return rentedAt.size() - used.size();
+  int unusedMachines() {
+    return rentedAt.size() - usedHosts.size();
   }
 
   /** Machines on which a task began. */
-  final Set<String> used = new HashSet<>();
+  final Set<String> usedHosts = new HashSet<>();
 
-  void handle(String method, String uri, ObjectNode body, SimNet.Answer out) {
+  void handle(String method, String uri, ObjectNode body, SimNet.Responder responder) {
     if (uri.equals("/machine_types")) {
       ObjectNode answer = Cbor.map();
-      ObjectNode type = answer.putArray("flavours").addObject().put("label", SimCluster.TYPE);
+      ObjectNode type =
+          answer.putArray("flavours").addObject().put("label", SimCluster.MACHINE_TYPE);
       type.put("cpus", listedCpus).put("gpus", 0).put("ramGb", 64.0);
       type.put("price", 1.5).put("lowPrice", 0.5).put("startupS", 2.0);
       SimCluster.ZONES.forEach(type.putArray("halls")::add);
-      out.send(200, answer);
+      responder.send(200, answer);
     } else if (uri.equals("/machines/release")) {
       for (JsonNode host : body.path("hosts")) {
         SimWorker worker = machines.remove(host.asText());
         if (worker != null) {
-          released++;
-          tasksReleased += worker.tasks.values().stream().filter(SimWorker.Task::on).count();
-          worker.die();
+          releasedMachines++;
+          tasksLostToRelease +=
+              worker.tasks.values().stream().filter(SimWorker.Task::isActive).count();
+          worker.terminate();
         }
       }
-      out.send(200, Cbor.map());
-    } else if (method.equals("POST") && refused.contains(body.path("hall").asText())) {
-      out.send(503, Cbor.map().put("error", "no capacity"));
+      responder.send(200, Cbor.map());
+    } else if (method.equals("POST") && zonesWithoutCapacity.contains(body.path("hall").asText())) {
+      responder.send(503, Cbor.map().put("error", "no capacity"));
     } else if (method.equals("POST")) {
-      ObjectNode answer = hire(body);
+      ObjectNode answer = rentOnce(body);
       cluster.clock.after(
-          answerMs,
+          answerDelayMs,
           () -> {
-            answered(body.path("hire").asText(), answer);
-            out.send(200, answer);
+            onRentalAnswered(body.path("hire").asText(), answer);
+            responder.send(200, answer);
           });
     } else {
       ObjectNode answer = Cbor.map().put("hasNext", false);
@@ -112,29 +115,29 @@
                   .addObject()
                   .put("ref", host)
                   .put("endpoint", worker.address)
-                  .put("flavour", SimCluster.TYPE)
-                  .put("hall", worker.hall)
-                  .put("lendable", worker.cheap)
-                  .put("status", failed.contains(host) ? "failed" : "running")
+                  .put("flavour", SimCluster.MACHINE_TYPE)
+                  .put("hall", worker.zone)
+                  .put("lendable", worker.spot)
+                  .put("status", failedHosts.contains(host) ? "failed" : "running")
                   .put("heldS", (cluster.clock.now() - rentedAt.get(host)) / 1000.0));
-      out.send(200, answer);
+      responder.send(200, answer);
     }
   }
 
   /** A name of a rental begins with that of the controller that gave it. */
-  private void answered(String hire, ObjectNode answer) {
-    JsonNode leader = cluster.state.under("d/leader/").get("one");
-    boolean leads = leader != null && hire.startsWith(leader.path("name").asText() + "-");
-    answeredToDeposed += leads || answer.path("hosts").isEmpty() ? 0 : 1;
+  private void onRentalAnswered(String rentalName, ObjectNode answer) {
+    JsonNode leader = cluster.state.dataUnder("d/leader/").get("one");
+    boolean leads = leader != null && rentalName.startsWith(leader.path("name").asText() + "-");
+    rentalsForDeposedLeaders += leads || answer.path("hosts").isEmpty() ? 0 : 1;
   }
 
-  private ObjectNode hire(ObjectNode body) {
-    return hires.computeIfAbsent(
+  private ObjectNode rentOnce(ObjectNode body) {
+    return rentals.computeIfAbsent(
         body.path("hire").asText(),
         name -> {
           ObjectNode answer = Cbor.map();
           ArrayNode hosts = answer.putArray("hosts");
-          int number = Math.min(body.path("number").asInt(), most - machines.size());
+          int number = Math.min(body.path("number").asInt(), maxMachines - machines.size());
           for (int i = 0; i < number; i++) {
             hosts.add(rent(body.path("hall").asText(), body.path("lendable").asBoolean()).host);
           }
--- a/src/test/java/dunlincroft/sim/SimCluster.java
+++ b/src/test/java/dunlincroft/sim/SimCluster.java
@@ -39,8 +39,8 @@
       double writeRps,
       double reportS,
       double rps,
-      double redMost,
-      double blueMost) {
+      double redCpuLimit,
+      double blueCpuLimit) {
     Size(int nodes, int machines, int jobs, double valueKb, int txnOps, double writeRps) {
       this(nodes, machines, jobs, valueKb, txnOps, writeRps, 2);
     }
@@ -69,7 +69,7 @@
     }
 
     /** The same with other limits of the teams, in processors; 0: none. */
-    Size limits(double red, double blue) {
+    Size withTeamLimits(double red, double blue) {
       return new Size(nodes, machines, jobs, valueKb, txnOps, writeRps, reportS, rps, red, blue);
     }
 
@@ -82,8 +82,8 @@
     static final Size FLEET = new Size(5, 60, 80, 8, 8, 80);
   }
 
-  static final String TYPE = "m16";
-  static final int CPUS = 16;
+  static final String MACHINE_TYPE = "m16";
+  static final int CPUS_PER_MACHINE = 16;
   static final List<String> ZONES = List.of("a", "b", "c");
   private static final String STATE = "10.2.0.1:2379";
   private static final String CLOUD = "10.2.0.2:8443";
@@ -96,9 +96,9 @@
   private static final int RESET_S = 5;
 
   /** So long a user waits for an answer to a question. */
-  private static final long ASK_MS = 2000;
+  private static final long QUERY_TIMEOUT_MS = 2000;
 
-  private static final long SUBMIT_MS = 5000;
+  private static final long SUBMIT_TIMEOUT_MS = 5000;
 
   final VirtualClock clock = new VirtualClock();
   final Random random;
@@ -109,42 +109,42 @@
   final Settings settings;
   final Policy policy;
   final Size size;
-  final Checks checks;
-  final CloseLooks closeLooks;
-  final OddRequests oddRequests;
-  final HeldReports heldReports;
+  final InvariantChecks checks;
+  final RequestBursts requestBursts;
+  final UnusualRequests unusualRequests;
+  final DelayedHeartbeats delayedHeartbeats;
   final long leaseMs;
 
   /** All orders that workers carried out. */
-  final OrderLog orders = new OrderLog();
+  final OrderLog orderLog = new OrderLog();
 
   private final List<Node> nodes = new ArrayList<>();
-  private final Map<String, JobSpec> uploads = new HashMap<>();
+  private final Map<String, JobSpec> specs = new HashMap<>();
 
   /** Jobs submitted with a mistake: all their tasks fail on every machine. */
-  final Set<String> broken = new HashSet<>();
+  final Set<String> failingJobs = new HashSet<>();
 
-  private long pollMs = 5000;
+  private long pollIntervalMs = 5000;
 
   /** Part of all reports of which a copy comes late, at any controller. */
-  double copies;
+  double heartbeatCopyShare;
 
   /** The latest that a copy comes. */
-  long copiesWithinMs = 200_000;
+  long maxCopyDelayMs = 200_000;
 
   /** Where a user's connection stands, and the balancer's picture of each node. */
   private final Map<String, Integer> connections = new HashMap<>();
 
-  private final int[] unreadyFor;
+  private final int[] failedProbes;
 
   /** Pairs of nodes between which a filter refuses connections, and nodes that lose packets. */
-  private final Set<Integer> refusing = new HashSet<>();
+  private final Set<Integer> refusedLinks = new HashSet<>();
 
-  private final Set<Integer> lossy = new HashSet<>();
+  private final Set<Integer> lossyNodes = new HashSet<>();
   private double linkLoss;
-  private final Map<String, Long> cutZones = new HashMap<>();
+  private final Map<String, Long> zoneCutsEndAt = new HashMap<>();
 
-  private static int pair(int a, int b) {
+  private static int linkKey(int a, int b) {
     return 100 * Math.min(a, b) + Math.max(a, b);
   }
 
@@ -155,52 +155,52 @@
     net = new SimNet(clock, random);
     state = new SimState(clock);
     lostAnswers = new LostAnswers(state, random);
-    net.loses = lostAnswers::about;
+    net.losesAnswer = lostAnswers::selectLoss;
     settings = Settings.parse(settingsJson(0, size));
     leaseMs = (long) (settings.workerLeaseS() * 1000);
-    checks = new Checks(this);
-    closeLooks = new CloseLooks(this, seed);
-    oddRequests = new OddRequests(this, seed);
-    heldReports = new HeldReports(this);
-    unreadyFor = new int[size.nodes];
+    checks = new InvariantChecks(this);
+    requestBursts = new RequestBursts(this, seed);
+    unusualRequests = new UnusualRequests(this, seed);
+    delayedHeartbeats = new DelayedHeartbeats(this);
+    failedProbes = new int[size.nodes];
     cloud = new SimCloud(this);
     net.serve(STATE, state::handle);
     net.serve(CLOUD, cloud::handle);
-    cloud.most = size.machines;
+    cloud.maxMachines = size.machines;
     for (int i = 0; i < size.nodes; i++) {
       nodes.add(new Node(i, Settings.parse(settingsJson(i, size))));
     }
     for (int i = 0; i < 5; i++) {
       cloud.rent(ZONES.get(i % 3), i == 4).start();
     }
-    sweep();
+    checkEverySecond();
   }
 
-  private void sweep() {
-    checks.sweep();
+  private void checkEverySecond() {
+    checks.checkAll();
     for (int i = 0; i < size.nodes; i++) {
-      unreadyFor[i] = ready(i) ? 0 : unreadyFor[i] + 1;
+      failedProbes[i] = isReady(i) ? 0 : failedProbes[i] + 1;
       int node = i;
-      if (unreadyFor[i] >= UNREADY_PROBES + RESET_S) {
+      if (failedProbes[i] >= UNREADY_PROBES + RESET_S) {
         connections.values().removeIf(to -> to == node);
       }
     }
-    clock.after(1000, this::sweep);
+    clock.after(1000, this::checkEverySecond);
   }
 
   /** A node for a new connection of a user: one that is ready, if there is any. */
-  private int balanced() {
+  private int chooseReadyNode() {
     int first = random.nextInt(size.nodes);
     for (int i = 0; i < size.nodes; i++) {
       int node = (first + i) % size.nodes;
-      if (unreadyFor[node] < UNREADY_PROBES) {
+      if (failedProbes[node] < UNREADY_PROBES) {
         return node;
       }
     }
     return first;
   }
 
-  int anyNode() {
+  int randomNode() {
     return random.nextInt(size.nodes);
   }
 
@@ -240,8 +240,8 @@
             others,
             CLOUD,
             STATE,
-            size.redMost,
-            size.blueMost,
+            size.redCpuLimit,
+            size.blueCpuLimit,
             size.reportS,
             size.rps,
             size.writeRps,
@@ -250,8 +250,8 @@
   }
 
   /** Thousandths of processors of all machines that can be had: no task beyond is seen. */
-  long cpusOfAll() {
-    return Resources.roundedDown((double) CPUS * size.machines, 0, 0).cpu();
+  long totalMilliCpus() {
+    return Resources.roundedDown((double) CPUS_PER_MACHINE * size.machines, 0, 0).cpu();
   }
 
   int nodeCount() {
@@ -275,12 +275,12 @@
   }
 
   /** Jobs submitted so far. */
-  int jobs() {
-    return uploads.size();
+  int submittedJobs() {
+    return specs.size();
   }
 
-  JobSpec uploaded(String ref) {
-    return uploads.get(ref);
+  JobSpec specOf(String ref) {
+    return specs.get(ref);
   }
 
   // ---- nodes ----
@@ -288,127 +288,131 @@
   /** A controller that can crash and come back with nothing but its settings, or stand still. */
   private final class Node {
     private final int index;
-    private final Settings mine;
-    private int life;
+    private final Settings nodeSettings;
+    private int incarnation;
     private Controller controller;
-    private boolean still;
+    private boolean paused;
 
     /** Gone in such a way that its connections are not even refused. */
-    private boolean silent;
+    private boolean unresponsive;
 
-    private final List<Runnable> arrived = new ArrayList<>();
-    private final List<Runnable> timers = new ArrayList<>();
+    private final List<Runnable> queuedMessages = new ArrayList<>();
+    private final List<Runnable> queuedTimers = new ArrayList<>();
 
-    Node(int index, Settings mine) {
+    Node(int index, Settings nodeSettings) {
       this.index = index;
-      this.mine = mine;
+      this.nodeSettings = nodeSettings;
       start();
     }
 
     void start() {
-      int now = ++life;
-      silent = false;
-      Env env = new NodeEnv(this, now);
-      controller = new Controller(mine, policy, env);
+      int started = ++incarnation;
+      unresponsive = false;
+      Env env = new NodeEnv(this, started);
+      controller = new Controller(nodeSettings, policy, env);
       HttpApi front = new HttpApi(controller);
       net.serve(
           nodeAddress(index),
-          (method, path, body, out) ->
-              act(
-                  now,
-                  arrived,
+          (method, path, body, responder) ->
+              runOrQueue(
+                  started,
+                  queuedMessages,
                   () ->
                       front.handle(
                           method,
                           path,
                           body == null ? new byte[0] : Cbor.bytes(body),
                           (status, data, retry) -> {
-                            if (life == now) {
+                            if (incarnation == started) {
                               try {
                                 ObjectNode map = data.length == 0 ? Cbor.map() : Cbor.parse(data);
                                 // In the place of the header.
-                                map.put(SimWorker.FROM, nodeAddress(index));
-                                map.put(SimWorker.LEFT_AT, clock.now());
-                                out.send(status, map.put(RETRY_AFTER, retry));
+                                map.put(SimWorker.SENDER, nodeAddress(index));
+                                map.put(SimWorker.SENT_AT, clock.now());
+                                responder.send(status, map.put(RETRY_AFTER, retry));
                               } catch (MalformedException e) {
                                 throw new IllegalStateException(e);
                               }
                             }
                           })));
       controller.start();
-      beat(now);
+      sendHeartbeats(started);
     }
 
-    private void beat(int since) {
-      if (life != since) {
+    private void sendHeartbeats(int since) {
+      if (incarnation != since) {
         return;
       }
       for (Node other : nodes) {
-        if (other != this && !still) {
-          link(other);
+        if (other != this && !paused) {
+          sendHeartbeat(other);
         }
       }
-      clock.after(300, () -> beat(since));
+      clock.after(300, () -> sendHeartbeats(since));
     }
 
     /**
      * A beat over the link: refused by a node that ended, or by a filter; lost only for a while.
      */
-    private void link(Node other) {
+    private void sendHeartbeat(Node other) {
       boolean refused =
-          (other.controller == null && !other.silent)
-              || refusing.contains(pair(index, other.index));
+          (other.controller == null && !other.unresponsive)
+              || refusedLinks.contains(linkKey(index, other.index));
       controller.onConnectionRefusal("n" + other.index, refused);
       if (refused || other.controller == null) {
         return;
       }
-      PeerHeartbeat beat = controller.peerHeartbeat();
-      int life = other.life;
-      net.stream(
+      PeerHeartbeat heartbeat = controller.peerHeartbeat();
+      int receiving = other.incarnation;
+      net.sendInOrder(
           nodeAddress(index),
           nodeAddress(other.index),
-          lossy.contains(index) || lossy.contains(other.index) ? linkLoss : 0,
-          () -> other.act(life, other.arrived, () -> other.controller.onPeerHeartbeat(beat)));
+          lossyNodes.contains(index) || lossyNodes.contains(other.index) ? linkLoss : 0,
+          () ->
+              other.runOrQueue(
+                  receiving,
+                  other.queuedMessages,
+                  () -> other.controller.onPeerHeartbeat(heartbeat)));
     }
 
     /** What comes to a node that stands still waits in its sockets and timers. */
-    void act(int since, List<Runnable> queue, Runnable what) {
-      if (life == since) {
-        if (still) {
-          queue.add(() -> act(since, queue, what));
+    void runOrQueue(int since, List<Runnable> queue, Runnable action) {
+      if (incarnation == since) {
+        if (paused) {
+          queue.add(() -> runOrQueue(since, queue, action));
         } else {
-          what.run();
+          action.run();
         }
       }
     }
 
-    void standStill(long ms) {
-      if (still || controller == null) {
+    void pause(long ms) {
+      if (paused || controller == null) {
         return;
       }
-      still = true;
-      int since = life;
-      clock.after(ms, () -> goOn(since));
+      paused = true;
+      int since = incarnation;
+      clock.after(ms, () -> resume(since));
     }
 
     /** Time-outs fire beside their answers: which of them are seen first is a matter of luck. */
-    private void goOn(int since) {
-      still = false;
+    private void resume(int since) {
+      paused = false;
       boolean timersFirst = random.nextBoolean();
-      List<Runnable> all = new ArrayList<>(timersFirst ? timers : arrived);
-      all.addAll(timersFirst ? arrived : timers);
-      arrived.clear();
-      timers.clear();
-      if (life == since) {
+      List<Runnable> all = new ArrayList<>(timersFirst ? queuedTimers : queuedMessages);
+      all.addAll(timersFirst ? queuedMessages : queuedTimers);
+      queuedMessages.clear();
+      queuedTimers.clear();
+      if (incarnation == since) {
         all.forEach(Runnable::run);
       }
     }
 
     /** Gone without a word: what is sent to it meets no answer and no refusal. */
-    void fallSilent(long ms) {
+    void crashSilently(long ms) {
       if (controller != null) {
         crash(ms);
-        silent = true;
+        unresponsive = true;
         net.serve(nodeAddress(index), (method, path, body, out) -> {});
       }
     }
@@ -417,10 +421,10 @@
       if (controller == null) {
         return;
       }
-      life++;
-      still = false;
-      arrived.clear();
-      timers.clear();
+      incarnation++;
+      paused = false;
+      queuedMessages.clear();
+      queuedTimers.clear();
       controller = null;
       net.close(nodeAddress(index));
       clock.after(ms, this::start);
@@ -429,14 +433,14 @@
 
   private final class NodeEnv implements Env {
     private final Node node;
-    private final int life;
+    private final int incarnation;
     private final UniformRandomProvider rng =
         RandomSource.XO_RO_SHI_RO_128_PP.create(random.nextLong());
-    private final long wallOff = random.nextInt(2000) - 1000;
+    private final long wallClockOffsetMs = random.nextInt(2000) - 1000;
 
-    NodeEnv(Node node, int life) {
+    NodeEnv(Node node, int incarnation) {
       this.node = node;
-      this.life = life;
+      this.incarnation = incarnation;
     }
 
     @Override
@@ -446,7 +450,7 @@
 
     @Override
     public long wallMillis() {
-      return 1_700_000_000_000L + clock.now() + wallOff;
+      return 1_700_000_000_000L + clock.now() + wallClockOffsetMs;
     }
 
     @Override
@@ -456,7 +460,7 @@
 
     @Override
     public void after(long delayMs, Runnable then) {
-      clock.after(delayMs, () -> node.act(life, node.timers, then));
+      clock.after(delayMs, () -> node.runOrQueue(incarnation, node.queuedTimers, then));
     }
 
     @Override
@@ -469,13 +473,13 @@
       net.call(
           nodeAddress(node.index),
           call,
-          reply -> node.act(life, node.arrived, () -> then.accept(reply)));
+          reply -> node.runOrQueue(incarnation, node.queuedMessages, () -> then.accept(reply)));
     }
   }
 
   // ---- operators ----
 
-  private DocumentStore documents() {
+  private DocumentStore documentStore() {
     return new DocumentStore(
         (method, path, body) -> {
           DocumentStore.Answer[] answer = new DocumentStore.Answer[1];
@@ -491,18 +495,18 @@
   }
 
   /** Operators put a document. */
-  void put(String name, String text) {
+  void putDocument(String name, String text) {
     try {
-      documents().put(name, text, "test", 0);
+      documentStore().put(name, text, "test", 0);
     } catch (DocumentStore.Unreachable | DocumentStore.Conflict | MalformedException e) {
       throw new IllegalStateException(e);
     }
   }
 
   /** Operators put a record that must not be there yet. */
-  void create(String key, JsonNode data) {
+  void createRecord(String key, JsonNode data) {
     try {
-      documents().create(key, key, data);
+      documentStore().create(key, key, data);
     } catch (DocumentStore.Unreachable | DocumentStore.Conflict | MalformedException e) {
       throw new IllegalStateException(e);
     }
@@ -511,9 +515,9 @@
   // ---- users ----
 
   /** Submits, follows and perhaps cancels a job, as users do. */
-  void user(JobSpec spec, long cancelAfterMs) {
-    uploads.put(spec.ref(), spec);
-    checks.asked(spec);
+  void submitAndFollow(JobSpec spec, long cancelAfterMs) {
+    specs.put(spec.ref(), spec);
+    checks.onSubmission(spec);
     submit(spec, 0);
     if (cancelAfterMs > 0) {
       clock.after(cancelAfterMs, () -> cancel(spec));
@@ -521,74 +525,78 @@
   }
 
   /** A job that users submit at nodes of their own choice. */
-  void declare(JobSpec spec) {
-    uploads.put(spec.ref(), spec);
-    checks.asked(spec);
+  void followWithoutSubmitting(JobSpec spec) {
+    specs.put(spec.ref(), spec);
+    checks.onSubmission(spec);
     clock.after(5000, () -> poll(spec));
   }
 
   /** A user's connection stands at a node already. */
-  void connect(String ref, int node) {
+  void pinConnection(String ref, int node) {
     connections.put(ref, node);
   }
 
   /** Takes the status of an answer, and its Retry-After in seconds. */
-  private interface Answered {
-    void with(int status, int retryAfterS);
+  private interface AnswerHandler {
+    void onAnswer(int status, int retryAfterS);
   }
 
-  private void ask(String method, String path, JobSpec spec, byte[] body, Answered then) {
+  private void request(String method, String path, JobSpec spec, byte[] body, AnswerHandler then) {
     long sentAt = clock.now();
     // A connection stays where it is until it fails or is reset.
-    int node = connections.computeIfAbsent(spec.ref(), ref -> balanced());
+    int node = connections.computeIfAbsent(spec.ref(), ref -> chooseReadyNode());
     net.call(
         "user",
         new Env.Call(
-            nodeAddress(node), method, path, body, method.equals("GET") ? ASK_MS : SUBMIT_MS),
+            nodeAddress(node),
+            method,
+            path,
+            body,
+            method.equals("GET") ? QUERY_TIMEOUT_MS : SUBMIT_TIMEOUT_MS),
         reply -> {
           if (reply.status() == 0) {
             connections.remove(spec.ref());
           }
-          JsonNode answer = told(spec, reply, sentAt);
-          then.with(reply.status(), answer.path(RETRY_AFTER).asInt());
+          JsonNode answer = checkAnswer(spec, reply, sentAt);
+          then.onAnswer(reply.status(), answer.path(RETRY_AFTER).asInt());
         });
   }
 
   /** A user got an answer to a request sent at {@code sentAt}: it is checked. */
-  JsonNode told(JobSpec spec, Env.Reply reply, long sentAt) {
+  JsonNode checkAnswer(JobSpec spec, Env.Reply reply, long sentAt) {
     try {
       JsonNode answer = reply.body().length == 0 ? Cbor.map() : Cbor.parse(reply.body());
-      checks.told(spec, reply.status(), answer, sentAt);
+      checks.onAnswer(spec, reply.status(), answer, sentAt);
       return answer;
     } catch (MalformedException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private void submit(JobSpec spec, int tries) {
+  private void submit(JobSpec spec, int attempts) {
     ObjectNode body = spec.toNode();
-    ask(
+    request(
         "POST",
         "/submissions",
         spec,
         Cbor.bytes(body),
         (status, retryAfterS) -> {
           if (status != 201 && status != 200 && status != 422) {
-            clock.after(1000L * Math.max(1, retryAfterS), () -> submit(spec, tries + 1));
-          } else if (tries == 0 && random.nextInt(5) == 0) {
+            clock.after(1000L * Math.max(1, retryAfterS), () -> submit(spec, attempts + 1));
+          } else if (attempts == 0 && random.nextInt(5) == 0) {
             clock.after(random.nextInt(100_000), () -> submit(spec, 1));
           }
         });
-    if (tries == 0) {
+    if (attempts == 0) {
       clock.after(5000, () -> poll(spec));
     }
   }
 
   private void poll(JobSpec spec) {
     if (checks.accepted.contains(spec.ref())) {
-      ask("GET", "/submissions/" + spec.ref(), spec, null, (status, retry) -> {});
+      request("GET", "/submissions/" + spec.ref(), spec, null, (status, retry) -> {});
     }
-    clock.after(pollMs, () -> poll(spec));
+    clock.after(pollIntervalMs, () -> poll(spec));
   }
 
   void cancel(JobSpec spec) {
@@ -596,8 +604,8 @@
       clock.after(2000, () -> cancel(spec));
       return;
     }
-    checks.askedCancel.add(spec.ref());
-    ask(
+    checks.cancelRequested.add(spec.ref());
+    request(
         "POST",
         "/submissions/" + spec.ref() + "/cancel",
         spec,
@@ -611,46 +619,46 @@
 
   // ---- faults ----
 
-  private static final long[] STILL_MS = {1000, 5000, 15_000, 40_000};
+  private static final long[] PAUSES_MS = {1000, 5000, 15_000, 40_000};
 
   /** Submits what a guest team brings: set by the test, as it makes the jobs. */
-  Runnable flood = () -> {};
+  Runnable submitGuestJobs = () -> {};
 
   /** The node that holds the first leased shard. */
-  private Node holder() {
-    JsonNode leases = state.under("d/leases/").get("one");
+  private Node owner() {
+    JsonNode leases = state.dataUnder("d/leases/").get("one");
     JsonNode shard =
         leases == null
             ? null
-            : state.under("d/shards/").get(leases.path("holders").path(0).asText());
+            : state.dataUnder("d/shards/").get(leases.path("holders").path(0).asText());
     return nodes.get(shard == null ? 0 : nodeIndex(shard.path("holder").asText()));
   }
 
   /** Cuts the holder off the state service. */
-  void cutHolder(long ms) {
-    net.cut(nodeAddress(holder().index), STATE, ms);
+  void cutOwnerFromState(long ms) {
+    net.cut(nodeAddress(owner().index), STATE, ms);
   }
 
   /** The cloud refuses a node. */
-  void refuseCloud(int node, long ms) {
+  void refuseCloudToNode(int node, long ms) {
     net.refuse(nodeAddress(node), CLOUD, ms);
   }
 
   /** The node that the leader's record names, or -1. */
   int leader() {
-    JsonNode record = state.under("d/leader/").get("one");
+    JsonNode record = state.dataUnder("d/leader/").get("one");
     return record == null ? -1 : nodeIndex(record.path("name").asText());
   }
 
   /** The state service refuses the holder alone. */
-  void refuseHolder(long ms) {
-    net.refuse(nodeAddress(holder().index), STATE, ms);
+  void refuseStateToOwner(long ms) {
+    net.refuse(nodeAddress(owner().index), STATE, ms);
   }
 
   /** Part of all transactions get no answer, and are carried out after newer ones. */
-  void lateWrites(double share, long ms) {
-    net.lateWrites = share;
-    clock.after(ms, () -> net.lateWrites = 0);
+  void delayWrites(double share, long ms) {
+    net.lateWriteShare = share;
+    clock.after(ms, () -> net.lateWriteShare = 0);
   }
 
   /** Part of the answers to calls of these kinds are lost; the calls are carried out at once. */
@@ -660,37 +668,40 @@
   }
 
   /** Part of all reports are copied, and the copies come late. */
-  void lateReports(double share, long ms) {
-    copies = share;
-    clock.after(ms, () -> copies = 0);
+  void duplicateHeartbeats(double share, long ms) {
+    heartbeatCopyShare = share;
+    clock.after(ms, () -> heartbeatCopyShare = 0);
   }
 
   /** Part of all direct commands are held up on their way, and carried out seconds later. */
-  void lateCommands(double share, long ms) {
-    Random luck = new Random(clock.now());
-    net.late.commands = (from, to, body) -> luck.nextDouble() < share;
-    clock.after(ms, () -> net.late.commands = (from, to, body) -> false);
+  void delayCommands(double share, long ms) {
+    Random commandRandom = new Random(clock.now());
+    net.delayedCommands.commands = (from, to, body) -> commandRandom.nextDouble() < share;
+    clock.after(ms, () -> net.delayedCommands.commands = (from, to, body) -> false);
   }
 
   /** Jobs that run and have long to go: services, and those whose tasks are long. */
-  List<JobSpec> runLong() {
-    return uploads.values().stream()
+  List<JobSpec> longRunningJobs() {
+    return specs.values().stream()
         .filter(spec -> spec.isService() || spec.estimatedRunS() > 20)
-        .filter(spec -> !checks.askedCancel.contains(spec.ref()))
+        .filter(spec -> !checks.cancelRequested.contains(spec.ref()))
         .filter(spec -> checks.running(spec.ref()) > 0)
         .sorted(Comparator.comparing(JobSpec::ref))
         .toList();
   }
 
   /** Users call off jobs that run and have long to go, and up to eight of their machines hang. */
-  List<SimWorker> cancelNow(int count, long hangMs) {
-    List<JobSpec> jobs = runLong().stream().limit(count).toList();
+  List<SimWorker> cancelRunningJobs(int count, long hangMs) {
+    List<JobSpec> jobs = longRunningJobs().stream().limit(count).toList();
     List<SimWorker> machines =
-        jobs.stream().flatMap(spec -> checks.machines(spec.ref()).stream()).distinct().toList();
-    List<SimWorker> hanging = machines.stream().limit(hangMs > 0 ? 8 : 0).toList();
+        jobs.stream()
+            .flatMap(spec -> checks.machinesRunning(spec.ref()).stream())
+            .distinct()
+            .toList();
+    List<SimWorker> hung = machines.stream().limit(hangMs > 0 ? 8 : 0).toList();
     jobs.forEach(spec -> clock.after(random.nextInt(200), () -> cancel(spec)));
-    hanging.forEach(worker -> worker.hang(hangMs));
-    return hanging;
+    hung.forEach(worker -> worker.hang(hangMs));
+    return hung;
   }
 
   /** Cuts a node off the state service. */
@@ -699,60 +710,60 @@
   }
 
   /** The holder stands still, and goes on with all that lay in its sockets. */
-  void freezeHolder(long ms) {
-    holder().standStill(ms);
+  void pauseOwner(long ms) {
+    owner().pause(ms);
   }
 
   /** No controller reaches a machine. */
-  void cutOff(SimWorker worker, long ms) {
+  void cutWorkerFromControllers(SimWorker worker, long ms) {
     for (int i = 0; i < size.nodes; i++) {
       net.cut(nodeAddress(i), worker.address, ms);
     }
   }
 
   /** Only the holder reaches a machine. */
-  void cutOffFromOthers(SimWorker worker, long ms) {
-    int holder = holder().index;
+  void cutWorkerFromNonOwners(SimWorker worker, long ms) {
+    int owner = owner().index;
     for (int i = 0; i < size.nodes; i++) {
-      if (i != holder) {
+      if (i != owner) {
         net.cut(nodeAddress(i), worker.address, ms);
       }
     }
   }
 
-  void freezeAll(long ms) {
-    nodes.forEach(node -> node.standStill(ms));
+  void pauseAll(long ms) {
+    nodes.forEach(node -> node.pause(ms));
   }
 
   /** The holder is gone, without a word. */
-  void silenceHolder(long ms) {
-    holder().fallSilent(ms);
+  void crashOwnerSilently(long ms) {
+    owner().crashSilently(ms);
   }
 
   /** Name of the node that holds the first leased shard, by its record. */
-  String holderName() {
-    return "n" + holder().index;
+  String ownerName() {
+    return "n" + owner().index;
   }
 
   /** The holder of the shard that the leases name last ends, and is back after that long. */
-  void crashLastHolder(long ms) {
-    JsonNode leases = state.under("d/leases/").get("one");
+  void crashLastOwner(long ms) {
+    JsonNode leases = state.dataUnder("d/leases/").get("one");
     if (leases != null) {
-      JsonNode holders = leases.path("holders");
-      JsonNode shard = state.under("d/shards/").get(holders.path(holders.size() - 1).asText());
+      JsonNode owners = leases.path("holders");
+      JsonNode shard = state.dataUnder("d/shards/").get(owners.path(owners.size() - 1).asText());
       nodes.get(shard == null ? 0 : nodeIndex(shard.path("holder").asText())).crash(ms);
     }
   }
 
   /** The life of the process that holds the first leased shard, by its record. */
-  String holderLife() {
-    JsonNode leases = state.under("d/leases/").get("one");
-    JsonNode shard = state.under("d/shards/").get(leases.path("holders").path(0).asText());
+  String ownerIncarnation() {
+    JsonNode leases = state.dataUnder("d/leases/").get("one");
+    JsonNode shard = state.dataUnder("d/shards/").get(leases.path("holders").path(0).asText());
     return shard.path("holder").asText() + " " + shard.path("incarnation").asText();
   }
 
-  String zoneOfTheHolder() {
-    return ZONES.get(holder().index % 3);
+  String ownerZone() {
+    return ZONES.get(owner().index % 3);
   }
 
   /** No controller reaches the cloud. */
@@ -766,12 +777,12 @@
     net.cut(nodeAddress(node), CLOUD, ms);
   }
 
-  String zoneWithoutTheHolder() {
-    return ZONES.get((holder().index + 1) % 3);
+  String zoneWithoutOwner() {
+    return ZONES.get((owner().index + 1) % 3);
   }
 
-  void crashHolder(long ms) {
-    holder().crash(ms);
+  void crashOwner(long ms) {
+    owner().crash(ms);
   }
 
   void crash(int node, long ms) {
@@ -779,23 +790,23 @@
   }
 
   /** What a node answers to the balancer's probe; false while it is gone. */
-  boolean ready(int node) {
+  boolean isReady(int node) {
     return nodes.get(node).controller != null && nodes.get(node).controller.isReady();
   }
 
   /** The controller there that answered most workers of late; the holder if none did. */
-  int busiest() {
-    int[] answered = new int[size.nodes];
+  int busiestNode() {
+    int[] answeredWorkers = new int[size.nodes];
     for (SimWorker worker : cloud.machines.values()) {
       if (worker.renewedBy >= 0 && clock.now() - worker.renewedAt < leaseMs / 4) {
-        answered[worker.renewedBy]++;
+        answeredWorkers[worker.renewedBy]++;
       }
     }
-    int busiest = holder().index;
+    int busiest = owner().index;
     for (int node = 0; node < size.nodes; node++) {
-      boolean there = nodes.get(node).controller != null;
-      boolean instead = nodes.get(busiest).controller == null;
-      if (there && (instead || answered[node] > answered[busiest])) {
+      boolean hasController = nodes.get(node).controller != null;
+      boolean replaces = nodes.get(busiest).controller == null;
+      if (hasController && (replaces || answeredWorkers[node] > answeredWorkers[busiest])) {
         busiest = node;
       }
     }
@@ -803,9 +814,9 @@
   }
 
   /** The busiest controller ends so many times, one after the other, and is back each time. */
-  void endBusiest(int times, long everyMs, long awayMs) {
+  void crashBusiestRepeatedly(int times, long intervalMs, long downtime) {
     for (int i = 0; i < times; i++) {
-      clock.after(i * everyMs, () -> crash(busiest(), awayMs));
+      clock.after(i * intervalMs, () -> crash(busiestNode(), downtime));
     }
   }
 
@@ -813,19 +824,19 @@
     nodes.forEach(node -> node.crash(ms));
   }
 
-  void freeze(int node, long ms) {
-    nodes.get(node).standStill(ms);
+  void pauseNode(int node, long ms) {
+    nodes.get(node).pause(ms);
   }
 
   /** Cuts the holder off its machines. */
-  void cutHolderFromWorkers(long ms) {
-    String address = nodeAddress(holder().index);
+  void cutOwnerFromWorkers(long ms) {
+    String address = nodeAddress(owner().index);
     cloud.machines.values().forEach(worker -> net.cut(address, worker.address, ms));
   }
 
   /** Cuts the holder off everything but its machines, and the cloud and users. */
-  void cutHolderFromControllers(long ms) {
-    int index = holder().index;
+  void cutOwnerFromControllers(long ms) {
+    int index = owner().index;
     net.cut(nodeAddress(index), STATE, ms);
     for (int i = 0; i < size.nodes; i++) {
       if (i != index) {
@@ -839,77 +850,77 @@
     List<String> inside = new ArrayList<>();
     List<String> outside = new ArrayList<>(List.of(STATE, CLOUD));
     for (Node node : nodes) {
-      (node.mine.zone().equals(zone) ? inside : outside).add(nodeAddress(node.index));
+      (node.nodeSettings.zone().equals(zone) ? inside : outside).add(nodeAddress(node.index));
     }
     for (SimWorker worker : cloud.machines.values()) {
-      (worker.hall.equals(zone) ? inside : outside).add(worker.address);
+      (worker.zone.equals(zone) ? inside : outside).add(worker.address);
     }
     inside.forEach(in -> outside.forEach(out -> net.cut(in, out, ms)));
-    cutZones.put(zone, clock.now() + ms);
+    zoneCutsEndAt.put(zone, clock.now() + ms);
   }
 
   /** The cloud takes cheap machines back without a notice. */
-  void takeBack(int number) {
-    List<SimWorker> cheap =
-        cloud.machines.values().stream().filter(worker -> worker.cheap).limit(number).toList();
-    for (SimWorker worker : cheap) {
+  void preemptSpotMachines(int number) {
+    List<SimWorker> spotMachines =
+        cloud.machines.values().stream().filter(worker -> worker.spot).limit(number).toList();
+    for (SimWorker worker : spotMachines) {
       cloud.machines.remove(worker.host);
-      worker.die();
+      worker.terminate();
     }
   }
 
   /** A machine that is rented in a zone that is cut is cut with it. */
-  void rented(SimWorker worker) {
-    long ms = cutZones.getOrDefault(worker.hall, 0L) - clock.now();
+  void onMachineRented(SimWorker worker) {
+    long ms = zoneCutsEndAt.getOrDefault(worker.zone, 0L) - clock.now();
     if (ms > 0) {
       nodes.stream()
-          .filter(node -> !node.mine.zone().equals(worker.hall))
+          .filter(node -> !node.nodeSettings.zone().equals(worker.zone))
           .forEach(node -> net.cut(nodeAddress(node.index), worker.address, ms));
     }
   }
 
   /** A filter refuses all connections between controllers, and ends those that stand. */
-  void refuseLinks(long ms) {
+  void refusePeerConnections(long ms) {
     for (int a = 0; a < size.nodes; a++) {
       for (int b = 0; b < a; b++) {
-        refusing.add(pair(a, b));
+        refusedLinks.add(linkKey(a, b));
       }
     }
-    clock.after(ms, refusing::clear);
+    clock.after(ms, refusedLinks::clear);
   }
 
   /** All links of a controller lose packets. */
-  void loseOnLinks(int node, double share) {
-    lossy.add(node);
+  void setPacketLoss(int node, double share) {
+    lossyNodes.add(node);
     linkLoss = share;
   }
 
-  void slowState(double factor, long ms) {
-    net.slow(STATE, factor);
-    clock.after(ms, () -> net.slow(STATE, 1));
+  void slowStateService(double factor, long ms) {
+    net.setDelayFactor(STATE, factor);
+    clock.after(ms, () -> net.setDelayFactor(STATE, 1));
   }
 
   /** How long a process that ended is away: seconds, or a fraction of one. */
-  private long away() {
+  private long downtimeMs() {
     return random.nextBoolean() ? 100 + random.nextInt(300) : 2000 + random.nextInt(8000);
   }
 
   /** One fault of a random kind, now. */
-  void fault() {
+  void injectRandomFault() {
     List<SimWorker> workers = List.copyOf(cloud.machines.values());
     SimWorker worker = workers.isEmpty() ? null : workers.get(random.nextInt(workers.size()));
     Node node = nodes.get(random.nextInt(size.nodes));
     String address = nodeAddress(node.index);
     long ms = 3000 + random.nextInt(40_000);
     switch (random.nextInt(20)) {
-      case 0 -> node.crash(away());
-      case 1 -> nodes.forEach(each -> each.crash(away()));
+      case 0 -> node.crash(downtimeMs());
+      case 1 -> nodes.forEach(each -> each.crash(downtimeMs()));
       case 2 -> state.outage(3000 + random.nextInt(20_000));
       case 3 -> net.cut(address, STATE, ms);
       case 4 -> workers.forEach(each -> net.cut(address, each.address, ms));
       case 5 -> {
         if (worker != null) {
-          cutOff(worker, ms);
+          cutWorkerFromControllers(worker, ms);
         }
       }
       case 6 -> {
@@ -918,26 +929,26 @@
         }
       }
       case 7 -> {
-        if (worker != null && worker.cheap) {
+        if (worker != null && worker.spot) {
           cloud.machines.remove(worker.host);
-          worker.die();
+          worker.terminate();
         }
       }
-      case 9 -> node.standStill(STILL_MS[random.nextInt(STILL_MS.length)]);
-      case 10 -> holder().standStill(STILL_MS[random.nextInt(STILL_MS.length)]);
-      case 11 -> holder().fallSilent(10_000 + random.nextInt(60_000));
+      case 9 -> node.pause(PAUSES_MS[random.nextInt(PAUSES_MS.length)]);
+      case 10 -> owner().pause(PAUSES_MS[random.nextInt(PAUSES_MS.length)]);
+      case 11 -> owner().crashSilently(10_000 + random.nextInt(60_000));
       case 12 -> {
-        pollMs = 600;
-        clock.after(30_000, () -> pollMs = 5000);
+        pollIntervalMs = 600;
+        clock.after(30_000, () -> pollIntervalMs = 5000);
       }
-      case 13 -> flood.run();
+      case 13 -> submitGuestJobs.run();
       case 14 -> {
         cloud.bootMs = random.nextBoolean() ? 0 : 40_000;
         clock.after(60_000, () -> cloud.bootMs = 2000);
       }
       case 16 -> {
         if (worker != null) {
-          worker.deafen(ms);
+          worker.loseInbound(ms);
         }
       }
       case 17 -> {
@@ -946,13 +957,13 @@
         }
       }
       case 18 -> {
-        copies = 0.3;
-        clock.after(ms, () -> copies = 0);
+        heartbeatCopyShare = 0.3;
+        clock.after(ms, () -> heartbeatCopyShare = 0);
       }
-      case 19 -> cutHolderFromControllers(ms);
+      case 19 -> cutOwnerFromControllers(ms);
       case 8 -> {
         if (worker != null) {
-          worker.sick = !worker.sick;
+          worker.faulty = !worker.faulty;
         }
       }
       default -> net.cut(address, CLOUD, ms);
