--- a/src/test/java/dunlincroft/sim/SimNet.java
+++ b/src/test/java/dunlincroft/sim/SimNet.java
@@ -21,18 +21,18 @@
 /** A stand-in for the network: delays, losses, refusals, cuts that hold packets back. */
 final class SimNet {
   /** Takes the one answer of a request. */
-  interface Answer {
+  interface Responder {
     void send(int status, ObjectNode body);
   }
 
   /** A server at an address. */
   interface Server {
-    void handle(String method, String path, ObjectNode body, Answer out);
+    void handle(String method, String path, ObjectNode body, Responder responder);
   }
 
   /** Told of each transaction as it is carried out, and what the answer would be. */
   interface TransactionListener {
-    void carriedOut(String from, ObjectNode body, int status);
+    void onTransaction(String from, ObjectNode body, int status);
   }
 
   final List<TransactionListener> transactionListeners = new ArrayList<>();
@@ -40,47 +40,47 @@
   private final VirtualClock clock;
   private final Random random;
   private final Map<String, Server> servers = new HashMap<>();
-  private final Set<String> cut = new HashSet<>();
-  private final Map<String, List<Runnable>> heldBack = new HashMap<>();
-  private final Map<String, Long> streams = new HashMap<>();
-  private final Map<String, Double> slowness = new HashMap<>();
+  private final Set<String> cutLinks = new HashSet<>();
+  private final Map<String, List<Runnable>> undelivered = new HashMap<>();
+  private final Map<String, Long> streamDeliveryTimes = new HashMap<>();
+  private final Map<String, Double> delayFactors = new HashMap<>();
 
   /** Senders that a server refuses, and what of theirs waits there until it no longer does. */
-  private final Map<String, List<Runnable>> refused = new HashMap<>();
+  private final Map<String, List<Runnable>> refusedRequests = new HashMap<>();
 
   double loss;
 
   /** Tells whether the answer to a call that is about to be carried out will be lost. */
-  BiFunction<Call, ObjectNode, IntPredicate> loses = (call, body) -> status -> false;
+  BiFunction<Call, ObjectNode, IntPredicate> losesAnswer = (call, body) -> status -> false;
 
   /** Part of transactions that get no answer and are carried out 2 to 12 s later. */
-  double lateWrites;
+  double lateWriteShare;
 
   /** How long the carrying out of a transaction is held back, unanswered; 0: not at all. */
-  ToLongBiFunction<Call, ObjectNode> heldMs = (call, body) -> 0;
+  ToLongBiFunction<Call, ObjectNode> writeDelayMs = (call, body) -> 0;
 
   /** Transactions sent by each, and carried out after a newer one of the same sender. */
-  private final Map<String, Long> sent = new HashMap<>();
+  private final Map<String, Long> transactionsSent = new HashMap<>();
 
-  private final Map<String, Long> carriedOut = new HashMap<>();
-  int lateAfterNewer;
+  private final Map<String, Long> lastExecuted = new HashMap<>();
+  int executedAfterNewer;
 
   /** Part of direct commands that are held up on their way, 2 to 16 s, and then carried out. */
-  double heldCommands;
+  double delayedCommandShare;
 
   /** Direct commands that arrived after their sender had given up. */
-  int lateCommands;
+  int commandsAfterTimeout;
 
   /** Sees the path and body of each request as it is sent: for tests that meet a moment. */
   BiConsumer<String, ObjectNode> onSent = (path, body) -> {};
 
   /** Commands and releases that are held up on their way. */
-  final LateCommands late;
+  final DelayedCommands delayedCommands;
 
   SimNet(VirtualClock clock, Random random) {
     this.clock = clock;
     this.random = random;
-    late = new LateCommands(this, clock);
+    delayedCommands = new DelayedCommands(this, clock);
   }
 
   void serve(String address, Server server) {
@@ -99,14 +99,14 @@
   /** Cuts two addresses; what is sent meanwhile is delivered, late, when the cut ends. */
   void cut(String a, String b, long ms) {
     String pair = pair(a, b);
-    if (cut.add(pair)) {
+    if (cutLinks.add(pair)) {
       clock.after(
           ms,
           () -> {
-            cut.remove(pair);
-            List<Runnable> late = heldBack.remove(pair);
-            if (late != null) {
-              late.forEach(Runnable::run);
+            cutLinks.remove(pair);
+            List<Runnable> messages = undelivered.remove(pair);
+            if (messages != null) {
+              messages.forEach(Runnable::run);
             }
           });
     }
@@ -119,47 +119,47 @@
   /** A server answers all calls of one sender with 503, and its watches wait. */
   void refuse(String from, String to, long ms) {
     String pair = from + ">" + to;
-    if (refused.putIfAbsent(pair, new ArrayList<>()) == null) {
-      clock.after(ms, () -> refused.remove(pair).forEach(Runnable::run));
+    if (refusedRequests.putIfAbsent(pair, new ArrayList<>()) == null) {
+      clock.after(ms, () -> refusedRequests.remove(pair).forEach(Runnable::run));
     }
   }
 
   /** Runs something now, or once a server no longer refuses a sender. */
-  private void unrefused(String from, String to, Runnable what) {
-    List<Runnable> waiting = refused.get(from + ">" + to);
+  private void runWhenAccepted(String from, String to, Runnable action) {
+    List<Runnable> waiting = refusedRequests.get(from + ">" + to);
     if (waiting == null) {
-      what.run();
+      action.run();
     } else {
-      waiting.add(what);
+      waiting.add(action);
     }
   }
 
-  private static boolean watches(Call call) {
+  private static boolean isWatch(Call call) {
     return call.path().startsWith("/changes") && !call.path().endsWith("blockMs=0");
   }
 
   /** Carries a transaction out; whether that is late is noted. */
-  private void transact(String from, long number, Runnable what) {
-    if (number < carriedOut.getOrDefault(from, 0L)) {
-      lateAfterNewer++;
+  private void executeTransaction(String from, long number, Runnable action) {
+    if (number < lastExecuted.getOrDefault(from, 0L)) {
+      executedAfterNewer++;
     }
-    carriedOut.merge(from, number, Math::max);
-    what.run();
+    lastExecuted.merge(from, number, Math::max);
+    action.run();
   }
 
   void call(String from, Call call, Consumer<Reply> then) {
     String to = call.address();
     long calledAt = clock.now();
     byte[] body = call.body();
-    boolean[] over = new boolean[1];
-    Consumer<Reply> once =
+    boolean[] completed = new boolean[1];
+    Consumer<Reply> answerOnce =
         reply -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!completed[0]) {
+            completed[0] = true;
             then.accept(reply);
           }
         };
-    clock.after(call.timeoutMs(), () -> once.accept(Reply.NONE));
+    clock.after(call.timeoutMs(), () -> answerOnce.accept(Reply.NONE));
     ObjectNode parsed;
     try {
       parsed = body == null ? null : Cbor.parse(body);
@@ -169,100 +169,107 @@
     onSent.accept(call.path(), parsed);
     if (call.path().equals("/commands")) {
       // For the log of orders.
-      parsed.put(SimWorker.FROM, from).put(SimWorker.LEFT_AT, calledAt);
+      parsed.put(SimWorker.SENDER, from).put(SimWorker.SENT_AT, calledAt);
     }
-    boolean heldUp =
-        heldCommands > 0 && call.path().equals("/commands") && random.nextDouble() < heldCommands;
+    boolean delayed =
+        delayedCommandShare > 0
+            && call.path().equals("/commands")
+            && random.nextDouble() < delayedCommandShare;
     // What travels is either lost on the way there, or on the way back, or arrives.
     Runnable arrive =
         () -> {
           Server server = servers.get(to);
-          boolean late = clock.now() - calledAt > call.timeoutMs();
-          lateCommands += late && call.path().equals("/commands") ? 1 : 0;
+          boolean timedOut = clock.now() - calledAt > call.timeoutMs();
+          commandsAfterTimeout += timedOut && call.path().equals("/commands") ? 1 : 0;
           if (server == null) {
-            carry(to, from, () -> once.accept(Reply.NOT_SENT));
+            deliver(to, from, () -> answerOnce.accept(Reply.NOT_SENT));
             return;
           }
-          if (refused.containsKey(from + ">" + to) && !watches(call)) {
-            carry(to, from, () -> once.accept(new Reply(503, Cbor.bytes(Cbor.map()))));
+          if (refusedRequests.containsKey(from + ">" + to) && !isWatch(call)) {
+            deliver(to, from, () -> answerOnce.accept(new Reply(503, Cbor.bytes(Cbor.map()))));
             return;
           }
-          if (this.late.hold(from, to, call.path(), parsed)) {
+          if (this.delayedCommands.delayIfSelected(from, to, call.path(), parsed)) {
             return;
           }
-          IntPredicate losing = loses.apply(call, parsed);
-          Answer back =
+          IntPredicate isLost = losesAnswer.apply(call, parsed);
+          Responder respond =
               (status, answer) -> {
-                if (!losing.test(status)) {
-                  unrefused(
+                if (!isLost.test(status)) {
+                  runWhenAccepted(
                       from,
                       to,
                       () ->
-                          carry(
-                              to, from, () -> once.accept(new Reply(status, Cbor.bytes(answer)))));
+                          deliver(
+                              to,
+                              from,
+                              () -> answerOnce.accept(new Reply(status, Cbor.bytes(answer)))));
                 }
               };
           if (call.path().equals("/multi")) {
-            long number = sent.merge(from, 1L, Long::sum);
-            long held = heldMs.applyAsLong(call, parsed);
-            boolean lost = held > 0 || (lateWrites > 0 && random.nextDouble() < lateWrites);
-            Answer told = lost ? (status, nobody) -> {} : back;
-            Answer answer =
+            long number = transactionsSent.merge(from, 1L, Long::sum);
+            long delayMs = writeDelayMs.applyAsLong(call, parsed);
+            boolean lost =
+                delayMs > 0 || (lateWriteShare > 0 && random.nextDouble() < lateWriteShare);
+            Responder outcome = lost ? (status, nobody) -> {} : respond;
+            Responder answer =
                 (status, map) -> {
-                  transactionListeners.forEach(each -> each.carriedOut(from, parsed, status));
-                  told.send(status, map);
+                  transactionListeners.forEach(each -> each.onTransaction(from, parsed, status));
+                  outcome.send(status, map);
                 };
-            Runnable what =
+            Runnable execution =
                 () ->
-                    transact(
+                    executeTransaction(
                         from,
                         number,
                         () -> server.handle(call.method(), call.path(), parsed, answer));
             if (lost) {
-              clock.after(held > 0 ? held : 2000 + random.nextInt(10_000), what);
+              clock.after(delayMs > 0 ? delayMs : 2000 + random.nextInt(10_000), execution);
             } else {
-              what.run();
+              execution.run();
             }
           } else {
-            unrefused(from, to, () -> server.handle(call.method(), call.path(), parsed, back));
+            runWhenAccepted(
+                from, to, () -> server.handle(call.method(), call.path(), parsed, respond));
           }
         };
-    if (heldUp) {
+    if (delayed) {
       clock.after(2000 + random.nextInt(14_000), arrive);
     } else {
-      carry(from, to, arrive);
+      deliver(from, to, arrive);
     }
   }
 
   /** One direction of a connection: what is lost is sent again, and nothing overtakes. */
-  void stream(String from, String to, double lost, Runnable arrive) {
+  void sendInOrder(String from, String to, double lossShare, Runnable arrive) {
     long delay = 1 + random.nextInt(random.nextInt(50) == 0 ? 200 : 6);
-    while (random.nextDouble() < lost) {
+    while (random.nextDouble() < lossShare) {
       delay += 200 + random.nextInt(300);
     }
-    long at = Math.max(clock.now() + delay, streams.getOrDefault(from + ">" + to, 0L));
-    streams.put(from + ">" + to, at);
+    long at = Math.max(clock.now() + delay, streamDeliveryTimes.getOrDefault(from + ">" + to, 0L));
+    streamDeliveryTimes.put(from + ">" + to, at);
     String pair = pair(from, to);
-    if (cut.contains(pair)) {
-      heldBack.computeIfAbsent(pair, p -> new ArrayList<>()).add(arrive);
+    if (cutLinks.contains(pair)) {
+      undelivered.computeIfAbsent(pair, p -> new ArrayList<>()).add(arrive);
     } else {
       clock.after(at - clock.now(), arrive);
     }
   }
 
   /** What goes to or comes from an address takes so many times as long. */
-  void slow(String address, double factor) {
-    slowness.put(address, factor);
+  void setDelayFactor(String address, double delayFactor) {
+    delayFactors.put(address, delayFactor);
   }
 
-  private void carry(String from, String to, Runnable arrive) {
-    double slow = Math.max(slowness.getOrDefault(from, 1.0), slowness.getOrDefault(to, 1.0));
+  private void deliver(String from, String to, Runnable arrive) {
+    double slowest =
+        Math.max(delayFactors.getOrDefault(from, 1.0), delayFactors.getOrDefault(to, 1.0));
     String pair = pair(from, to);
-    if (cut.contains(pair)) {
-      heldBack.computeIfAbsent(pair, p -> new ArrayList<>()).add(arrive);
+    if (cutLinks.contains(pair)) {
+      undelivered.computeIfAbsent(pair, p -> new ArrayList<>()).add(arrive);
     } else if (random.nextDouble() >= loss) {
       long delay = 1 + random.nextInt(random.nextInt(50) == 0 ? 400 : 6);
-      clock.after((long) (slow * delay), arrive);
+      clock.after((long) (slowest * delay), arrive);
     } else {
       // "Lost" means late: it may arrive long after its sender gave up.
       clock.after(3000 + random.nextInt(60_000), arrive);
--- a/src/test/java/dunlincroft/sim/SimState.java
+++ b/src/test/java/dunlincroft/sim/SimState.java
@@ -14,33 +14,33 @@
 
 /** A stand-in for the state service, by its protocol. */
 final class SimState {
-  private record Item(JsonNode data, long stamp, long tenancy) {}
+  private record Item(JsonNode data, long revision, long lease) {}
 
-  private record Change(long stamp, String key, JsonNode data) {}
+  private record Change(long revision, String key, JsonNode data) {}
 
-  private record Watch(long since, String under, SimNet.Answer out, boolean[] answered) {}
+  private record Watch(long since, String prefix, SimNet.Responder responder, boolean[] answered) {}
 
   /** Items of a listing: few, so that a reading goes on while keys change. */
-  private static final int LISTED = 9;
+  private static final int LISTING_PAGE_SIZE = 9;
 
   private final VirtualClock clock;
   private final TreeMap<String, Item> items = new TreeMap<>();
   private final List<Change> changes = new ArrayList<>();
   private final List<Watch> watches = new ArrayList<>();
-  private final Map<Long, Long> holds = new HashMap<>();
-  private final Map<Long, Long> lives = new HashMap<>();
-  private long epoch;
-  private long nextHold = 1;
+  private final Map<Long, Long> leaseExpiries = new HashMap<>();
+  private final Map<Long, Long> leaseDurations = new HashMap<>();
+  private long currentRevision;
+  private long nextLeaseId = 1;
   boolean down;
 
   /** Puts of pages of jobs so far. */
   int pagesWritten;
 
   /** Keys that were there once and were removed. */
-  final Set<String> removed = new HashSet<>();
+  final Set<String> removedKeys = new HashSet<>();
 
   /** Requests so far. */
-  int requests;
+  int requestCount;
 
   /** For the test that shows that the checks can fail: transactions apply whatever they guard. */
   boolean ignoreGuards;
@@ -49,27 +49,27 @@
   boolean emptyBarriers;
 
   /** Ends of jobs that a cancellation came before, and cancellations that came after the end. */
-  int endsOvertaken;
+  int rejectedEnds;
 
-  int cancelsOvertaken;
+  int rejectedCancels;
 
   /** Keeps only so many changes, so that slow readers see 410. */
-  int keep = 10_000;
+  int maxChanges = 10_000;
 
   SimState(VirtualClock clock) {
     this.clock = clock;
-    expire();
+    expireLeases();
   }
 
-  private void expire() {
+  private void expireLeases() {
     if (!down) {
-      for (long hold : List.copyOf(holds.keySet())) {
-        if (holds.get(hold) < clock.now()) {
-          end(hold);
+      for (long lease : List.copyOf(leaseExpiries.keySet())) {
+        if (leaseExpiries.get(lease) < clock.now()) {
+          endLease(lease);
         }
       }
     }
-    clock.after(50, this::expire);
+    clock.after(50, this::expireLeases);
   }
 
   void outage(long ms) {
@@ -78,13 +78,13 @@
         ms,
         () -> {
           down = false;
-          holds.replaceAll((hold, until) -> clock.now() + lives.get(hold));
-          wake();
+          leaseExpiries.replaceAll((lease, until) -> clock.now() + leaseDurations.get(lease));
+          answerWatches();
         });
   }
 
   /** The data of all keys that begin so, by the rest of their names. */
-  Map<String, JsonNode> under(String prefix) {
+  Map<String, JsonNode> dataUnder(String prefix) {
     Map<String, JsonNode> found = new TreeMap<>();
     items
         .subMap(prefix, prefix + "~")
@@ -92,44 +92,44 @@
     return found;
   }
 
-  private void end(long hold) {
-    holds.remove(hold);
+  private void endLease(long lease) {
+    leaseExpiries.remove(lease);
     List<String> keys = new ArrayList<>();
     items.forEach(
         (key, item) -> {
-          if (item.tenancy == hold) {
+          if (item.lease == lease) {
             keys.add(key);
           }
         });
     if (!keys.isEmpty()) {
-      epoch++;
-      keys.forEach(key -> change(key, null, 0));
-      wake();
+      currentRevision++;
+      keys.forEach(key -> applyChange(key, null, 0));
+      answerWatches();
     }
   }
 
-  private void change(String key, JsonNode data, long tenancy) {
+  private void applyChange(String key, JsonNode data, long lease) {
     if (data == null) {
       if (items.remove(key) == null) {
         return;
       }
-      removed.add(key);
+      removedKeys.add(key);
     } else {
-      items.put(key, new Item(data.deepCopy(), epoch, tenancy));
+      items.put(key, new Item(data.deepCopy(), currentRevision, lease));
       if (key.startsWith("d/pages/")) {
         pagesWritten++;
       }
     }
-    changes.add(new Change(epoch, key, data));
-    while (changes.size() > keep) {
+    changes.add(new Change(currentRevision, key, data));
+    while (changes.size() > maxChanges) {
       changes.remove(0);
     }
   }
 
-  void handle(String method, String uri, ObjectNode body, SimNet.Answer out) {
-    requests++;
+  void handle(String method, String uri, ObjectNode body, SimNet.Responder responder) {
+    requestCount++;
     if (down && !uri.startsWith("/changes")) {
-      out.send(503, Cbor.map());
+      responder.send(503, Cbor.map());
       return;
     }
     Map<String, String> query = new HashMap<>();
@@ -142,57 +142,58 @@
       }
     }
     if (path.equals("/multi")) {
-      multi(body, out);
+      transact(body, responder);
     } else if (path.equals("/holds")) {
-      long life = body.path("lifeMs").asLong();
-      holds.put(nextHold, clock.now() + life);
-      lives.put(nextHold, life);
-      out.send(200, Cbor.map().put("tenancy", nextHold++));
+      long durationMs = body.path("lifeMs").asLong();
+      leaseExpiries.put(nextLeaseId, clock.now() + durationMs);
+      leaseDurations.put(nextLeaseId, durationMs);
+      responder.send(200, Cbor.map().put("tenancy", nextLeaseId++));
     } else if (path.startsWith("/holds/")) {
-      long hold = Long.parseLong(path.split("/")[2]);
-      if (holds.containsKey(hold)) {
-        holds.put(hold, clock.now() + lives.get(hold));
+      long lease = Long.parseLong(path.split("/")[2]);
+      if (leaseExpiries.containsKey(lease)) {
+        leaseExpiries.put(lease, clock.now() + leaseDurations.get(lease));
       }
-      out.send(holds.containsKey(hold) ? 200 : 404, Cbor.map());
+      responder.send(leaseExpiries.containsKey(lease) ? 200 : 404, Cbor.map());
     } else if (emptyBarriers && path.equals("/changes") && query.get("blockMs").equals("0")) {
       ObjectNode nothing = Cbor.map().put("epoch", Long.parseLong(query.get("since")));
       nothing.putArray("events");
-      out.send(200, nothing);
+      responder.send(200, nothing);
     } else if (path.equals("/changes")) {
       Watch watch =
-          new Watch(Long.parseLong(query.get("since")), query.get("under"), out, new boolean[1]);
+          new Watch(
+              Long.parseLong(query.get("since")), query.get("under"), responder, new boolean[1]);
       watches.add(watch);
       if (!down || Long.parseLong(query.get("blockMs")) == 0) {
         if (down) {
           watches.remove(watch);
-          out.send(503, Cbor.map());
+          responder.send(503, Cbor.map());
           return;
         }
-        wake();
+        answerWatches();
       }
       clock.after(
           Long.parseLong(query.get("blockMs")),
           () -> {
             if (!down) {
-              answer(watch, true);
+              answerWatch(watch, true);
             }
           });
     } else if (path.equals("/keys")) {
-      list(query, out);
+      list(query, responder);
     } else if (path.startsWith("/keys/")) {
       Item item = items.get(path.substring("/keys/".length()));
       if (item == null) {
-        out.send(404, Cbor.map().put("epoch", epoch));
+        responder.send(404, Cbor.map().put("epoch", currentRevision));
       } else {
-        ObjectNode found = Cbor.map().put("stamp", item.stamp);
+        ObjectNode found = Cbor.map().put("stamp", item.revision);
         found.set("data", item.data);
-        out.send(200, found);
+        responder.send(200, found);
       }
     }
   }
 
-  private void list(Map<String, String> query, SimNet.Answer out) {
-    ObjectNode answer = Cbor.map().put("epoch", epoch);
+  private void list(Map<String, String> query, SimNet.Responder responder) {
+    ObjectNode answer = Cbor.map().put("epoch", currentRevision);
     ArrayNode found = answer.putArray("items");
     boolean more = false;
     String since = query.getOrDefault("since", query.get("under"));
@@ -200,74 +201,76 @@
       if (!entry.getKey().startsWith(query.get("under"))) {
         break;
       }
-      if (found.size() == Math.min(LISTED, Integer.parseInt(query.get("most")))) {
+      if (found.size() == Math.min(LISTING_PAGE_SIZE, Integer.parseInt(query.get("most")))) {
         more = true;
         break;
       }
       ObjectNode item =
-          found.addObject().put("key", entry.getKey()).put("stamp", entry.getValue().stamp);
+          found.addObject().put("key", entry.getKey()).put("stamp", entry.getValue().revision);
       item.set("data", entry.getValue().data);
     }
-    out.send(200, answer.put("hasNext", more));
+    responder.send(200, answer.put("hasNext", more));
   }
 
-  private void multi(ObjectNode body, SimNet.Answer out) {
+  private void transact(ObjectNode body, SimNet.Responder responder) {
     ArrayNode failed = Cbor.map().putArray("failed");
     for (JsonNode guard : body.path("guards")) {
       Item item = items.get(guard.path("key").asText());
-      long stamp = item == null ? 0 : item.stamp;
-      if (stamp != guard.path("stamp").asLong() && !ignoreGuards) {
+      long revision = item == null ? 0 : item.revision;
+      if (revision != guard.path("stamp").asLong() && !ignoreGuards) {
         failed.add(guard.path("key").asText());
       }
     }
     for (JsonNode op : body.path("apply")) {
-      if (op.has("tenancy") && !holds.containsKey(op.path("tenancy").asLong())) {
-        out.send(400, Cbor.map().put("error", "no such lease"));
+      if (op.has("tenancy") && !leaseExpiries.containsKey(op.path("tenancy").asLong())) {
+        responder.send(400, Cbor.map().put("error", "no such lease"));
         return;
       }
     }
     if (!failed.isEmpty()) {
-      body.path("apply").forEach(this::overtaken);
-      ObjectNode answer = Cbor.map().put("epoch", epoch);
+      body.path("apply").forEach(this::countRejected);
+      ObjectNode answer = Cbor.map().put("epoch", currentRevision);
       answer.set("failed", failed);
-      out.send(409, answer);
+      responder.send(409, answer);
       return;
     }
-    epoch++;
+    currentRevision++;
     for (JsonNode op : body.path("apply")) {
       if (op.has("put")) {
-        change(op.path("put").asText(), op.get("data"), op.path("tenancy").asLong());
+        applyChange(op.path("put").asText(), op.get("data"), op.path("tenancy").asLong());
       } else {
-        change(op.path("remove").asText(), null, 0);
+        applyChange(op.path("remove").asText(), null, 0);
       }
     }
-    out.send(200, Cbor.map().put("epoch", epoch));
-    wake();
+    responder.send(200, Cbor.map().put("epoch", currentRevision));
+    answerWatches();
   }
 
-  private void overtaken(JsonNode op) {
+  private void countRejected(JsonNode op) {
     String key = op.path("put").asText();
-    endsOvertaken += key.startsWith("d/jobs/") && op.path("data").has("status") ? 1 : 0;
-    cancelsOvertaken += key.startsWith("d/cancels/") ? 1 : 0;
+    rejectedEnds += key.startsWith("d/jobs/") && op.path("data").has("status") ? 1 : 0;
+    rejectedCancels += key.startsWith("d/cancels/") ? 1 : 0;
   }
 
-  private void wake() {
-    List.copyOf(watches).forEach(watch -> answer(watch, false));
+  private void answerWatches() {
+    List.copyOf(watches).forEach(watch -> answerWatch(watch, false));
   }
 
-  private void answer(Watch watch, boolean empty) {
+  private void answerWatch(Watch watch, boolean empty) {
     if (watch.answered[0]) {
       return;
     }
-    if (!changes.isEmpty() && watch.since < changes.get(0).stamp && changes.size() >= keep) {
-      finish(watch, 410, Cbor.map());
+    if (!changes.isEmpty()
+        && watch.since < changes.get(0).revision
+        && changes.size() >= maxChanges) {
+      finishWatch(watch, 410, Cbor.map());
       return;
     }
-    ObjectNode answer = Cbor.map().put("epoch", epoch);
+    ObjectNode answer = Cbor.map().put("epoch", currentRevision);
     ArrayNode events = answer.putArray("events");
     for (Change change : changes) {
-      if (change.stamp > watch.since && change.key.startsWith(watch.under)) {
-        ObjectNode event = events.addObject().put("stamp", change.stamp);
+      if (change.revision > watch.since && change.key.startsWith(watch.prefix)) {
+        ObjectNode event = events.addObject().put("stamp", change.revision);
         if (change.data == null) {
           event.put("remove", change.key);
         } else {
@@ -276,13 +279,13 @@
       }
     }
     if (empty || !events.isEmpty()) {
-      finish(watch, 200, answer);
+      finishWatch(watch, 200, answer);
     }
   }
 
-  private void finish(Watch watch, int status, ObjectNode body) {
+  private void finishWatch(Watch watch, int status, ObjectNode body) {
     watch.answered[0] = true;
     watches.remove(watch);
-    watch.out.send(status, body);
+    watch.responder.send(status, body);
   }
 }
--- a/src/test/java/dunlincroft/sim/SimWorker.java
+++ b/src/test/java/dunlincroft/sim/SimWorker.java
@@ -18,64 +18,64 @@
   /** A task on the machine. */
   static final class Task {
     final JobSpec spec;
-    final String piece;
+    final String name;
     final long attempt;
-    final long orderLeftAt;
+    final long orderSentAt;
     String status = "fetching";
     String cause;
 
-    Task(JobSpec spec, String piece, long attempt, long orderLeftAt) {
+    Task(JobSpec spec, String name, long attempt, long orderSentAt) {
       this.spec = spec;
-      this.piece = piece;
+      this.name = name;
       this.attempt = attempt;
-      this.orderLeftAt = orderLeftAt;
+      this.orderSentAt = orderSentAt;
     }
 
-    boolean on() {
+    boolean isActive() {
       return !status.equals("exited");
     }
   }
 
   /** What the simulation adds to orders: their sender, and when they left. */
-  static final String FROM = "simFrom";
+  static final String SENDER = "simFrom";
 
-  static final String LEFT_AT = "simLeftAt";
+  static final String SENT_AT = "simLeftAt";
 
   /** So long a worker waits for the answer to a report. */
-  private static final long ANSWER_MS = 4000;
+  private static final long ANSWER_TIMEOUT_MS = 4000;
 
   private final SimCluster cluster;
   final String host;
   final String address;
-  final String hall;
-  final boolean cheap;
-  final Resources room;
+  final String zone;
+  final boolean spot;
+  final Resources capacity;
   final Map<String, Task> tasks = new LinkedHashMap<>();
-  boolean gone;
-  private boolean up;
-  private boolean begun;
-  boolean hanging;
-  boolean sick;
+  boolean terminated;
+  private boolean isUp;
+  private boolean loopsStarted;
+  boolean hung;
+  boolean faulty;
 
   /** Its reports arrive; answers and commands don't reach it. */
-  private boolean deaf;
+  private boolean inboundLost;
 
   /** It can open connections to no controller; direct commands reach it. */
-  private boolean mute;
+  private boolean outboundBlocked;
 
   /** Planted: its tasks outlive its lease. */
-  boolean keepsTasks;
+  boolean keepsTasksAfterLease;
 
   /** Moments at which reports left whose answers it did not get, while it is deaf. */
-  final List<Long> unanswered = new ArrayList<>();
+  final List<Long> unansweredHeartbeatTimes = new ArrayList<>();
 
-  private long tenure = 1;
+  private long session = 1;
   private long counter;
-  private long fence;
-  private long leaseFrom;
-  private int node;
-  private boolean waiting;
-  private long reports;
+  private long fenceToken;
+  private long leaseStartedAt;
+  private int targetNode;
+  private boolean awaitingAnswer;
+  private long heartbeatCount;
 
   /** The node whose answer last renewed the lease, and when. */
   int renewedBy = -1;
@@ -83,151 +83,151 @@
   long renewedAt = -1;
 
   /** The node to which the first report was sent; -1: none yet. */
-  int heardBy = -1;
+  int firstContactedNode = -1;
 
   /** Copies of reports that came after newer ones, and those of them of an earlier session. */
-  int oldCopies;
+  int staleCopies;
 
-  int copiesOfEarlierSessions;
+  int staleCopiesOfEarlierSessions;
 
-  private final List<Runnable> whenAwake = new ArrayList<>();
+  private final List<Runnable> deferredWhileHung = new ArrayList<>();
 
-  SimWorker(SimCluster cluster, String host, String hall, boolean cheap, Resources room) {
+  SimWorker(SimCluster cluster, String host, String zone, boolean spot, Resources capacity) {
     this.cluster = cluster;
     this.host = host;
     this.address = host;
-    this.hall = hall;
-    this.cheap = cheap;
-    this.room = room;
-    this.node = cluster.random.nextInt(cluster.nodeCount());
+    this.zone = zone;
+    this.spot = spot;
+    this.capacity = capacity;
+    this.targetNode = cluster.random.nextInt(cluster.nodeCount());
   }
 
   /** The machine is up. */
   void start() {
-    if (!gone && !up) {
-      up = true;
-      leaseFrom = cluster.clock.now();
+    if (!terminated && !isUp) {
+      isUp = true;
+      leaseStartedAt = cluster.clock.now();
       cluster.net.serve(address, this::handle);
-      if (!begun) {
-        begun = true;
-        loop();
-        lease();
+      if (!loopsStarted) {
+        loopsStarted = true;
+        heartbeatRegularly();
+        checkLeaseRegularly();
       }
     }
   }
 
-  void die() {
-    gone = true;
+  void terminate() {
+    terminated = true;
     tasks.clear();
     cluster.net.close(address);
   }
 
   /** Stops answering and acting, with all that is on it, and goes on later. */
   void hang(long ms) {
-    hanging = true;
+    hung = true;
     cluster.clock.after(
         ms,
         () -> {
-          hanging = false;
+          hung = false;
           checkLease();
-          cluster.checks.wentOn(this);
-          List<Runnable> late = List.copyOf(whenAwake);
-          whenAwake.clear();
-          late.forEach(Runnable::run);
+          cluster.checks.onWorkerResumed(this);
+          List<Runnable> deferred = List.copyOf(deferredWhileHung);
+          deferredWhileHung.clear();
+          deferred.forEach(Runnable::run);
         });
   }
 
-  void deafen(long ms) {
-    deaf = true;
-    unanswered.clear();
-    cluster.clock.after(ms, () -> deaf = false);
+  void loseInbound(long ms) {
+    inboundLost = true;
+    unansweredHeartbeatTimes.clear();
+    cluster.clock.after(ms, () -> inboundLost = false);
   }
 
-  void mute(long ms) {
-    mute = true;
-    cluster.clock.after(ms, () -> mute = false);
+  void blockOutbound(long ms) {
+    outboundBlocked = true;
+    cluster.clock.after(ms, () -> outboundBlocked = false);
   }
 
   /** Ends and is back under its old name, with nothing of what it knew. */
   void restart(long ms) {
-    if (gone || !up) {
+    if (terminated || !isUp) {
       return;
     }
-    up = false;
+    isUp = false;
     tasks.clear();
-    whenAwake.clear();
-    reports++;
-    waiting = false;
+    deferredWhileHung.clear();
+    heartbeatCount++;
+    awaitingAnswer = false;
     cluster.net.close(address);
     cluster.clock.after(
         ms,
         () -> {
-          tenure = 1;
+          session = 1;
           counter = 0;
-          fence = 0;
+          fenceToken = 0;
           start();
         });
   }
 
-  private void lease() {
-    if (gone) {
+  private void checkLeaseRegularly() {
+    if (terminated) {
       return;
     }
-    if (!hanging && up) {
+    if (!hung && isUp) {
       checkLease();
     }
-    cluster.clock.after(200, this::lease);
+    cluster.clock.after(200, this::checkLeaseRegularly);
   }
 
   private void checkLease() {
-    if (cluster.clock.now() - leaseFrom > cluster.leaseMs && !keepsTasks) {
-      cluster.checks.leasesEnded++;
-      cluster.checks.endedByLease += tasks.values().stream().filter(Task::on).count();
+    if (cluster.clock.now() - leaseStartedAt > cluster.leaseMs && !keepsTasksAfterLease) {
+      cluster.checks.expiredLeases++;
+      cluster.checks.tasksLostToLease += tasks.values().stream().filter(Task::isActive).count();
       tasks.clear();
-      tenure++;
+      session++;
       counter = 0;
-      leaseFrom = cluster.clock.now();
+      leaseStartedAt = cluster.clock.now();
     }
   }
 
-  private void loop() {
-    if (gone) {
+  private void heartbeatRegularly() {
+    if (terminated) {
       return;
     }
-    if (!hanging && !waiting && up) {
-      report();
+    if (!hung && !awaitingAnswer && isUp) {
+      sendHeartbeat();
     }
-    cluster.clock.after(1000 + cluster.random.nextInt(800), this::loop);
+    cluster.clock.after(1000 + cluster.random.nextInt(800), this::heartbeatRegularly);
   }
 
   /** The session: it moves on each time the lease ends. */
-  long tenure() {
-    return tenure;
+  long session() {
+    return session;
   }
 
   /** The highest token that it has seen. */
-  long fence() {
-    return fence;
+  long fenceToken() {
+    return fenceToken;
   }
 
-  private ObjectNode view() {
+  private ObjectNode statusReport() {
     counter++;
     ObjectNode map =
         Cbor.map()
             .put("host", host)
             .put("endpoint", address)
-            .put("flavour", SimCluster.TYPE)
-            .put("hall", hall)
-            .put("lendable", cheap)
-            .put("tenure", tenure)
+            .put("flavour", SimCluster.MACHINE_TYPE)
+            .put("hall", zone)
+            .put("lendable", spot)
+            .put("tenure", session)
             .put("counter", counter)
-            .put("fence", fence);
-    ArrayNode pieces = map.putArray("pieces");
+            .put("fence", fenceToken);
+    ArrayNode tasksNode = map.putArray("pieces");
     for (Task task : tasks.values()) {
       ObjectNode item =
-          pieces
+          tasksNode
               .addObject()
-              .put("piece", task.piece)
+              .put("piece", task.name)
               .put("try", task.attempt)
               .put("status", task.status);
       if (task.cause != null) {
@@ -237,128 +237,135 @@
     return map;
   }
 
-  private void report() {
-    waiting = true;
-    long mine = ++reports;
+  private void sendHeartbeat() {
+    awaitingAnswer = true;
+    long heartbeatNumber = ++heartbeatCount;
     long sentAt = cluster.clock.now();
-    long sentTenure = tenure;
-    byte[] report = Cbor.bytes(view());
+    long sentSession = session;
+    byte[] report = Cbor.bytes(statusReport());
     long sentCounter = counter;
-    if (mute) {
-      int tried = node;
+    if (outboundBlocked) {
+      int contacted = targetNode;
       cluster.clock.after(
-          ANSWER_MS, () -> answered(mine, sentAt, sentTenure, tried, Env.Reply.NONE));
+          ANSWER_TIMEOUT_MS,
+          () -> onAnswer(heartbeatNumber, sentAt, sentSession, contacted, Env.Reply.NONE));
       return;
     }
-    if (cluster.random.nextDouble() < cluster.copies) {
+    if (cluster.random.nextDouble() < cluster.heartbeatCopyShare) {
       cluster.clock.after(
-          1000 + cluster.random.nextInt((int) cluster.copiesWithinMs - 1000),
+          1000 + cluster.random.nextInt((int) cluster.maxCopyDelayMs - 1000),
           () -> {
-            oldCopies += tenure != sentTenure || counter > sentCounter ? 1 : 0;
-            copiesOfEarlierSessions += tenure != sentTenure ? 1 : 0;
-            cluster.net.call(address, hello(cluster.anyNode(), report), reply -> {});
+            staleCopies += session != sentSession || counter > sentCounter ? 1 : 0;
+            staleCopiesOfEarlierSessions += session != sentSession ? 1 : 0;
+            cluster.net.call(address, heartbeatCall(cluster.randomNode(), report), reply -> {});
           });
     }
-    int to = node;
-    heardBy = heardBy < 0 ? to : heardBy;
-    if (cluster.heldReports.holds(this, report, sentTenure, sentCounter)) {
-      cluster.clock.after(ANSWER_MS, () -> answered(mine, sentAt, sentTenure, to, Env.Reply.NONE));
+    int to = targetNode;
+    firstContactedNode = firstContactedNode < 0 ? to : firstContactedNode;
+    if (cluster.delayedHeartbeats.intercept(this, report, sentSession, sentCounter)) {
+      cluster.clock.after(
+          ANSWER_TIMEOUT_MS,
+          () -> onAnswer(heartbeatNumber, sentAt, sentSession, to, Env.Reply.NONE));
       return;
     }
     cluster.net.call(
-        address, hello(to, report), reply -> answered(mine, sentAt, sentTenure, to, reply));
+        address,
+        heartbeatCall(to, report),
+        reply -> onAnswer(heartbeatNumber, sentAt, sentSession, to, reply));
   }
 
   /** Whether something newer than such a report has left since. */
-  boolean isOlder(long thatTenure, long thatCounter) {
-    return tenure != thatTenure || counter > thatCounter;
+  boolean isOlder(long thatSession, long thatCounter) {
+    return session != thatSession || counter > thatCounter;
   }
 
-  boolean isOfEarlierSession(long thatTenure) {
-    return tenure != thatTenure;
+  boolean isOfEarlierSession(long thatSession) {
+    return session != thatSession;
   }
 
-  private Env.Call hello(int to, byte[] report) {
-    return new Env.Call(cluster.nodeAddress(to), "POST", "/hello", report, ANSWER_MS);
+  private Env.Call heartbeatCall(int to, byte[] report) {
+    return new Env.Call(cluster.nodeAddress(to), "POST", "/hello", report, ANSWER_TIMEOUT_MS);
   }
 
-  private void answered(long mine, long sentAt, long sentTenure, int to, Env.Reply reply) {
-    if (gone || mine != reports) {
+  private void onAnswer(
+      long heartbeatNumber, long sentAt, long sentSession, int to, Env.Reply reply) {
+    if (terminated || heartbeatNumber != heartbeatCount) {
       return;
     }
-    if (deaf && reply.status() != 0) {
-      unanswered.add(sentAt);
+    if (inboundLost && reply.status() != 0) {
+      unansweredHeartbeatTimes.add(sentAt);
       cluster.clock.after(
-          sentAt + ANSWER_MS - cluster.clock.now(),
-          () -> answered(mine, sentAt, sentTenure, to, Env.Reply.NONE));
+          sentAt + ANSWER_TIMEOUT_MS - cluster.clock.now(),
+          () -> onAnswer(heartbeatNumber, sentAt, sentSession, to, Env.Reply.NONE));
       return;
     }
-    waiting = false;
-    if (hanging) {
+    awaitingAnswer = false;
+    if (hung) {
       return;
     }
     try {
       JsonNode body = reply.body().length == 0 ? Cbor.map() : Cbor.parse(reply.body());
       if (reply.status() == 200) {
-        if (body.path("fence").asLong() >= fence && sentTenure == tenure) {
-          fence = body.path("fence").asLong();
-          leaseFrom = Math.max(leaseFrom, sentAt);
+        if (body.path("fence").asLong() >= fenceToken && sentSession == session) {
+          fenceToken = body.path("fence").asLong();
+          leaseStartedAt = Math.max(leaseStartedAt, sentAt);
           renewedBy = to;
           renewedAt = cluster.clock.now();
           execute(body, false);
         }
       } else if (reply.status() == 421 && body.hasNonNull("steward")) {
-        node = cluster.nodeIndex(body.path("steward").asText());
+        targetNode = cluster.nodeIndex(body.path("steward").asText());
       } else {
-        node = (node + 1) % cluster.nodeCount();
+        targetNode = (targetNode + 1) % cluster.nodeCount();
       }
     } catch (MalformedException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private void handle(String method, String path, ObjectNode body, SimNet.Answer out) {
-    if (gone || deaf || !up) {
+  private void handle(String method, String path, ObjectNode body, SimNet.Responder responder) {
+    if (terminated || inboundLost || !isUp) {
       return;
     }
-    if (hanging) {
-      whenAwake.add(() -> handle(method, path, body, out));
+    if (hung) {
+      deferredWhileHung.add(() -> handle(method, path, body, responder));
       return;
     }
     if (path.equals("/status")) {
-      out.send(200, view());
+      responder.send(200, statusReport());
       return;
     }
-    boolean ok = body.path("fence").asLong() >= fence && body.path("tenure").asLong() == tenure;
-    if (ok) {
-      fence = body.path("fence").asLong();
+    boolean accepted =
+        body.path("fence").asLong() >= fenceToken && body.path("tenure").asLong() == session;
+    if (accepted) {
+      fenceToken = body.path("fence").asLong();
       execute(body, true);
     }
-    out.send(ok ? 200 : 409, view());
+    responder.send(accepted ? 200 : 409, statusReport());
   }
 
-  private static String key(String piece, long attempt) {
-    return piece + "#" + attempt;
+  private static String key(String taskName, long attempt) {
+    return taskName + "#" + attempt;
   }
 
   /** Whether it is up, hears what it is told, and runs what it is given. */
-  boolean takesWork() {
-    return up && !gone && !hanging && !deaf && !sick;
+  boolean isAvailable() {
+    return isUp && !terminated && !hung && !inboundLost && !faulty;
   }
 
   /** What its tasks leave free. */
-  Resources free() {
-    return room.minus(used());
+  Resources freeCapacity() {
+    return capacity.minus(usedCapacity());
   }
 
   boolean hasService() {
-    return tasks.values().stream().anyMatch(task -> task.on() && task.spec.isService());
+    return tasks.values().stream().anyMatch(task -> task.isActive() && task.spec.isService());
   }
 
-  private Resources used() {
+  private Resources usedCapacity() {
     Resources sum = Resources.NONE;
     for (Task task : tasks.values()) {
-      if (task.on()) {
+      if (task.isActive()) {
         sum = sum.plus(task.spec.resources());
       }
     }
@@ -366,35 +373,36 @@
   }
 
   private void execute(JsonNode body, boolean direct) {
-    String from = body.path(FROM).asText();
-    long leftAt = body.path(LEFT_AT).asLong();
+    String sender = body.path(SENDER).asText();
+    long sentAtMs = body.path(SENT_AT).asLong();
     for (JsonNode order : body.path("orders")) {
-      String piece = order.path("piece").asText();
+      String taskName = order.path("piece").asText();
       long attempt = order.path("try").asLong();
-      Task task = tasks.get(key(piece, attempt));
+      Task task = tasks.get(key(taskName, attempt));
       String verb = order.path("verb").asText();
-      boolean matters = verb.equals("run") ? task == null : isOn(task, verb.equals("kill"));
-      if (matters) {
-        cluster.orders.add(
-            new OrderLog.Done(
-                cluster.clock.now(), leftAt, from, host, verb, piece, attempt, direct),
-            tenure);
+      boolean takesEffect =
+          verb.equals("run") ? task == null : existsWithActivity(task, verb.equals("kill"));
+      if (takesEffect) {
+        cluster.orderLog.add(
+            new OrderLog.ExecutedOrder(
+                cluster.clock.now(), sentAtMs, sender, host, verb, taskName, attempt, direct),
+            session);
       }
       switch (verb) {
         case "run" -> {
           if (task == null) {
-            run(piece, attempt, leftAt);
+            startTask(taskName, attempt, sentAtMs);
           }
         }
         case "kill" -> {
-          if (task != null && task.on()) {
-            cluster.checks.stopped++;
-            exit(task, "stopped");
+          if (task != null && task.isActive()) {
+            cluster.checks.stoppedTasks++;
+            exitTask(task, "stopped");
           }
         }
         case "reap" -> {
-          if (task != null && !task.on()) {
-            tasks.remove(key(piece, attempt));
+          if (task != null && !task.isActive()) {
+            tasks.remove(key(taskName, attempt));
           }
         }
         default -> throw new IllegalStateException("verb " + order);
@@ -402,70 +410,70 @@
     }
   }
 
-  private static boolean isOn(Task task, boolean on) {
-    return task != null && task.on() == on;
+  private static boolean existsWithActivity(Task task, boolean active) {
+    return task != null && task.isActive() == active;
   }
 
-  private void run(String piece, long attempt, long leftAt) {
-    JobSpec spec = cluster.uploaded(piece.substring(0, piece.indexOf('/')));
-    Task task = new Task(spec, piece, attempt, leftAt);
-    boolean busy = tasks.values().stream().anyMatch(t -> t.on() && t.piece.equals(piece));
-    boolean fits = spec != null && used().plus(spec.resources()).fitsInto(room);
-    tasks.put(key(piece, attempt), task);
+  private void startTask(String taskName, long attempt, long sentAtMs) {
+    JobSpec spec = cluster.specOf(taskName.substring(0, taskName.indexOf('/')));
+    Task task = new Task(spec, taskName, attempt, sentAtMs);
+    boolean busy = tasks.values().stream().anyMatch(t -> t.isActive() && t.name.equals(taskName));
+    boolean fits = spec != null && usedCapacity().plus(spec.resources()).fitsInto(capacity);
+    tasks.put(key(taskName, attempt), task);
     if (spec == null) {
-      exit(task, "unknown");
+      exitTask(task, "unknown");
       return;
     }
     if (busy || !fits) {
-      exit(task, busy ? "in_use" : "full");
+      exitTask(task, busy ? "in_use" : "full");
       return;
     }
-    cluster.cloud.used.add(host);
-    cluster.checks.onMachine(this, task);
-    cluster.clock.after(200 + cluster.random.nextInt(1500), () -> begin(task));
+    cluster.cloud.usedHosts.add(host);
+    cluster.checks.onTaskPlaced(this, task);
+    cluster.clock.after(200 + cluster.random.nextInt(1500), () -> beginRunning(task));
   }
 
-  boolean alive(Task task) {
-    return !gone && tasks.get(key(task.piece, task.attempt)) == task && task.on();
+  boolean hasActive(Task task) {
+    return !terminated && tasks.get(key(task.name, task.attempt)) == task && task.isActive();
   }
 
-  private void begin(Task task) {
-    if (hanging) {
-      whenAwake.add(() -> begin(task));
-    } else if (alive(task)) {
-      boolean broken = cluster.broken.contains(task.spec.ref());
-      cluster.checks.brokenTries += broken ? 1 : 0;
-      if (sick || broken) {
-        exit(task, "error");
+  private void beginRunning(Task task) {
+    if (hung) {
+      deferredWhileHung.add(() -> beginRunning(task));
+    } else if (hasActive(task)) {
+      boolean failing = cluster.failingJobs.contains(task.spec.ref());
+      cluster.checks.failingAttempts += failing ? 1 : 0;
+      if (faulty || failing) {
+        exitTask(task, "error");
         return;
       }
       task.status = "running";
-      cluster.checks.started(this, task);
+      cluster.checks.onTaskStarted(this, task);
       if (!task.spec.isService()) {
-        cluster.clock.after(runMs(task), () -> end(task));
+        cluster.clock.after(runMs(task), () -> completeTask(task));
       }
     }
   }
 
   /** A class of jobs whose tasks end far apart. */
-  static final String APART = "apart";
+  static final String STAGGERED_CLASS = "apart";
 
   private static long runMs(Task task) {
     long ms = (long) (task.spec.estimatedRunS() * 1000);
-    int number = Integer.parseInt(task.piece.substring(task.piece.indexOf('/') + 1));
-    return task.spec.jobclass().equals(APART) ? ms * (1 + 4 * number) : ms;
+    int number = Integer.parseInt(task.name.substring(task.name.indexOf('/') + 1));
+    return task.spec.jobclass().equals(STAGGERED_CLASS) ? ms * (1 + 4 * number) : ms;
   }
 
-  private void end(Task task) {
-    if (hanging) {
-      whenAwake.add(() -> end(task));
-    } else if (alive(task)) {
-      cluster.checks.completed(task);
-      exit(task, "done");
+  private void completeTask(Task task) {
+    if (hung) {
+      deferredWhileHung.add(() -> completeTask(task));
+    } else if (hasActive(task)) {
+      cluster.checks.onTaskCompleted(task);
+      exitTask(task, "done");
     }
   }
 
-  private void exit(Task task, String cause) {
+  private void exitTask(Task task, String cause) {
     task.status = "exited";
     task.cause = cause;
   }
--- a/src/test/java/dunlincroft/sim/SmallJobsTest.java
+++ b/src/test/java/dunlincroft/sim/SmallJobsTest.java
@@ -90,7 +90,7 @@
   private void afterBegin(SimCluster cluster, JobSpec spec, long ms) {
     if (cluster.checks.running(spec.ref()) > 0) {
       cluster.clock.after(ms, () -> cancelNow(cluster, spec));
-    } else if (!cluster.checks.toldFinal.containsKey(spec.ref())) {
+    } else if (!cluster.checks.finalStates.containsKey(spec.ref())) {
       cluster.clock.after(20, () -> afterBegin(cluster, spec, ms));
     }
   }
@@ -98,11 +98,11 @@
   /** Cancels, and notes in which moment of the job's life that was. */
   private void cancelNow(SimCluster cluster, JobSpec spec) {
     Moment now = Moment.WAITING;
-    if (cluster.checks.completed.containsKey(spec.ref())) {
+    if (cluster.checks.completedTasks.containsKey(spec.ref())) {
       now = Moment.AROUND_THE_END;
     } else if (cluster.checks.running(spec.ref()) > 0) {
       now = Moment.RUNNING;
-    } else if (cluster.state.under("d/jobs/" + spec.ref()).isEmpty()) {
+    } else if (cluster.state.dataUnder("d/jobs/" + spec.ref()).isEmpty()) {
       now = Moment.AT_ONCE;
     }
     met.merge(now, 1, Integer::sum);
@@ -114,26 +114,26 @@
     if (all || beside == Beside.CHANGES_OF_THE_HOLDER) {
       for (int i = 0; i < 6; i++) {
         boolean atOnce = i % 2 == 0;
-        cluster.clock.after(10_000 + 17_000L * i, () -> cluster.crashHolder(atOnce ? 200 : 12_000));
+        cluster.clock.after(10_000 + 17_000L * i, () -> cluster.crashOwner(atOnce ? 200 : 12_000));
       }
     }
     if (all || beside == Beside.SLOW_STATE_SERVICE) {
       for (int i = 0; i < 4; i++) {
-        cluster.clock.after(6000 + 30_000L * i, () -> cluster.slowState(30, 14_000));
+        cluster.clock.after(6000 + 30_000L * i, () -> cluster.slowStateService(30, 14_000));
       }
     }
     if (all || beside == Beside.LATE_WRITES) {
-      cluster.lateWrites(0.2, 110_000);
+      cluster.delayWrites(0.2, 110_000);
     }
   }
 
   private SimCluster cluster(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
-    cluster.checks.troublesOver(FROM_MS + JOBS * EACH_MS + 30_000);
+    cluster.checks.setFaultsEnd(FROM_MS + JOBS * EACH_MS + 30_000);
     Random random = new Random(seed);
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = job(i, 1.5 + random.nextInt(8));
-      cluster.clock.after(FROM_MS + EACH_MS * i, () -> cluster.user(spec, 0));
+      cluster.clock.after(FROM_MS + EACH_MS * i, () -> cluster.submitAndFollow(spec, 0));
       if (i % 4 == 1) {
         Moment moment = Moment.values()[i / 4 % 4];
         cluster.clock.after(FROM_MS + EACH_MS * i, () -> cancel(cluster, random, spec, moment));
@@ -145,7 +145,7 @@
   /** Plays until every user was told of the end, and a little longer. */
   private static void play(SimCluster cluster) {
     cluster.clock.runUntil(FROM_MS + JOBS * EACH_MS);
-    while (cluster.checks.toldFinal.size() < JOBS && cluster.clock.now() < END_MS) {
+    while (cluster.checks.finalStates.size() < JOBS && cluster.clock.now() < END_MS) {
       cluster.clock.runUntil(cluster.clock.now() + 1000);
     }
     cluster.clock.runUntil(cluster.clock.now() + 15_000);
@@ -155,8 +155,8 @@
   @EnumSource(Beside.class)
   void everyJobEndsAsItsUserWants(Beside beside) throws MalformedException {
     SimCluster cluster = cluster(1 + beside.ordinal());
-    CancelLog log = new CancelLog(cluster);
-    HandChanges hands = new HandChanges(cluster);
+    CancellationLog log = new CancellationLog(cluster);
+    OwnershipChanges hands = new OwnershipChanges(cluster);
     cluster.clock.runUntil(FROM_MS);
     trouble(cluster, beside);
     play(cluster);
@@ -165,7 +165,7 @@
   }
 
   /** The troubles met the jobs, and the cancellations each moment of their lives. */
-  private void met(SimCluster cluster, Beside beside, HandChanges hands) {
+  private void met(SimCluster cluster, Beside beside, OwnershipChanges hands) {
     assertThat(met.getOrDefault(Moment.WAITING, 0)).isGreaterThan(30);
     assertThat(met.getOrDefault(Moment.RUNNING, 0)).isGreaterThan(30);
     assertThat(met.getOrDefault(Moment.AROUND_THE_END, 0)).isGreaterThan(5);
@@ -173,38 +173,40 @@
       assertThat(hands.changes).as("changes of hands").hasSizeGreaterThan(3);
     }
     if (beside == Beside.LATE_WRITES || beside == Beside.ALL_OF_IT) {
-      assertThat(cluster.net.lateAfterNewer).as("late writes after newer ones").isGreaterThan(100);
+      assertThat(cluster.net.executedAfterNewer)
+          .as("late writes after newer ones")
+          .isGreaterThan(100);
     }
   }
 
   /**
    * Nothing is forgotten, nothing starts once its user was told, and who did not cancel is done.
    */
-  private static void ended(SimCluster cluster, CancelLog log) {
-    Checks checks = cluster.checks;
-    assertThat(checks.broken).isEmpty();
+  private static void ended(SimCluster cluster, CancellationLog log) {
+    InvariantChecks checks = cluster.checks;
+    assertThat(checks.violations).isEmpty();
     assertThat(checks.accepted).hasSize(JOBS);
-    assertThat(checks.toldFinal).as("every job ends").hasSize(JOBS);
-    assertThat(checks.askedCancel).hasSizeGreaterThan(100);
-    checks.toldFinal.forEach(
+    assertThat(checks.finalStates).as("every job ends").hasSize(JOBS);
+    assertThat(checks.cancelRequested).hasSizeGreaterThan(100);
+    checks.finalStates.forEach(
         (ref, end) -> {
-          if (!checks.askedCancel.contains(ref)) {
+          if (!checks.cancelRequested.contains(ref)) {
             assertThat(end).as(ref + ", which nobody cancelled").isEqualTo(Wire.DONE);
           }
         });
-    long withdrawn = checks.toldFinal.values().stream().filter(Wire.CANCELLED::equals).count();
+    long withdrawn = checks.finalStates.values().stream().filter(Wire.CANCELLED::equals).count();
     assertThat(withdrawn).as("cancelled in time").isGreaterThan(90);
-    assertThat(withdrawn).as("told once, told for ever").isEqualTo(checks.toldCancelled.size());
-    assertThat(checks.completed.keySet()).containsAll(doneOnes(checks));
-    assertThat(log.startsAfter).as("recorded after the cancellation").isEmpty();
+    assertThat(withdrawn).as("told once, told for ever").isEqualTo(checks.cancelConfirmedAt.size());
+    assertThat(checks.completedTasks.keySet()).containsAll(doneOnes(checks));
+    assertThat(log.startsAfterCancellation).as("recorded after the cancellation").isEmpty();
     assertThat(checks.startedAfterCancelMs)
         .as("orders that were on their way")
         .hasSizeLessThan(4)
         .allMatch(ms -> ms < ON_ITS_WAY_MS);
   }
 
-  private static List<String> doneOnes(Checks checks) {
-    return checks.toldFinal.entrySet().stream()
+  private static List<String> doneOnes(InvariantChecks checks) {
+    return checks.finalStates.entrySet().stream()
         .filter(each -> each.getValue().equals(Wire.DONE))
         .map(Map.Entry::getKey)
         .toList();
--- a/src/test/java/dunlincroft/sim/StandInTest.java
+++ b/src/test/java/dunlincroft/sim/StandInTest.java
@@ -13,7 +13,7 @@
 /**
  * A holder ends inside an outage: others that know enough answer its workers, and start nothing.
  */
-class StandInTest extends MeetingScenario {
+class StandInTest extends OverlappingFaultsScenario {
   private static final long OUTAGE_MS = 38_000;
 
   /** Machines whose last answer came from another controller than this, since then. */
@@ -27,22 +27,22 @@
   @ParameterizedTest
   @CsvSource({"1, 4000, 200", "2, 4000, 3000", "3, 8000, 60000", "4, 1000, 200"})
   void noWellMachineLosesItsTasks(long seed, long after, long awayMs) throws MalformedException {
-    SimCluster cluster = busy(seed);
-    cluster.checks.troublesOver(AT_MS + OUTAGE_MS + 30_000);
-    cluster.clock.runUntil(AT_MS);
-    int holder = cluster.nodeIndex(cluster.holderName());
-    cancelSome(cluster, 6, 100);
+    SimCluster cluster = busyCluster(seed);
+    cluster.checks.setFaultsEnd(FAULTS_AT_MS + OUTAGE_MS + 30_000);
+    cluster.clock.runUntil(FAULTS_AT_MS);
+    int holder = cluster.nodeIndex(cluster.ownerName());
+    cancelEveryNth(cluster, 6, 100);
     cluster.clock.after(1500, () -> cluster.state.outage(OUTAGE_MS));
-    cluster.clock.runUntil(AT_MS + 1500 + after);
+    cluster.clock.runUntil(FAULTS_AT_MS + 1500 + after);
     long running = sum(cluster, worker -> worker.tasks.size());
     assertThat(running).isGreaterThan(20);
     cluster.crash(holder, awayMs);
-    cluster.clock.runUntil(AT_MS + 1500 + OUTAGE_MS);
-    assertThat(answeredByOthers(cluster, holder, AT_MS + after + 5000))
+    cluster.clock.runUntil(FAULTS_AT_MS + 1500 + OUTAGE_MS);
+    assertThat(answeredByOthers(cluster, holder, FAULTS_AT_MS + after + 5000))
         .as("machines that others answered")
         .isGreaterThan(5);
-    assertThat(cluster.checks.endedByLease).as("tasks ended by leases").isZero();
-    holds(cluster);
+    assertThat(cluster.checks.tasksLostToLease).as("tasks ended by leases").isZero();
+    runAndVerify(cluster);
   }
 
   /**
@@ -60,20 +60,20 @@
 
   private long endedByLeases(long seed, long awayMs) throws MalformedException {
     jobs.clear();
-    SimCluster cluster = busy(seed);
-    cluster.checks.troublesOver(AT_MS + 150_000);
-    cluster.clock.runUntil(AT_MS);
+    SimCluster cluster = busyCluster(seed);
+    cluster.checks.setFaultsEnd(FAULTS_AT_MS + 150_000);
+    cluster.clock.runUntil(FAULTS_AT_MS);
     int[] met = new int[1];
     for (int i = 0; i < 10; i++) {
       cluster.clock.after(12_000L * i, () -> met[0] += cluster.state.down ? 1 : 0);
     }
-    cluster.endBusiest(10, 12_000, awayMs);
+    cluster.crashBusiestRepeatedly(10, 12_000, awayMs);
     cluster.clock.after(30_000, () -> cluster.state.outage(70_000));
-    cancelSome(cluster, 3, 1000);
-    cluster.clock.runUntil(AT_MS + 120_000);
+    cancelEveryNth(cluster, 3, 1000);
+    cluster.clock.runUntil(FAULTS_AT_MS + 120_000);
     assertThat(met[0]).as("ends inside the outage").isBetween(5, 6);
-    long ended = cluster.checks.endedByLease;
-    holds(cluster);
+    long ended = cluster.checks.tasksLostToLease;
+    runAndVerify(cluster);
     return ended;
   }
 
@@ -84,21 +84,21 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void whoAloneIsCutOffDoesNotStandIn(long seed) throws MalformedException {
-    SimCluster cluster = busy(seed);
-    cluster.clock.runUntil(AT_MS);
-    String old = cluster.holderName();
-    cluster.cutHolder(45_000);
-    while (cluster.holderName().equals(old)) {
+    SimCluster cluster = busyCluster(seed);
+    cluster.clock.runUntil(FAULTS_AT_MS);
+    String old = cluster.ownerName();
+    cluster.cutOwnerFromState(45_000);
+    while (cluster.ownerName().equals(old)) {
       cluster.clock.runUntil(cluster.clock.now() + 50);
     }
     long taken = cluster.clock.now();
-    cluster.clock.runUntil(AT_MS + 40_000);
+    cluster.clock.runUntil(FAULTS_AT_MS + 40_000);
     assertThat(cluster.cloud.machines.values())
         .as("answered by the old one after the change of hands")
         .noneMatch(
             worker ->
                 worker.renewedBy == cluster.nodeIndex(old) && worker.renewedAt > taken + 2000);
-    holds(cluster);
+    runAndVerify(cluster);
   }
 
   /**
@@ -109,31 +109,31 @@
   @ParameterizedTest
   @ValueSource(longs = {2, 3, 4})
   void startsThatWereHeldUpAreVoid(long seed) throws MalformedException {
-    SimCluster cluster = busy(seed);
-    cluster.checks.troublesOver(AT_MS + 120_000);
-    cluster.clock.runUntil(AT_MS);
-    String holder = cluster.holderName();
+    SimCluster cluster = busyCluster(seed);
+    cluster.checks.setFaultsEnd(FAULTS_AT_MS + 120_000);
+    cluster.clock.runUntil(FAULTS_AT_MS);
+    String holder = cluster.ownerName();
     String address = cluster.nodeAddress(cluster.nodeIndex(holder));
     List<SimWorker> cut = List.copyOf(cluster.cloud.machines.values());
     cut.forEach(worker -> cluster.net.cut(address, worker.address, 62_000));
     for (int i = 0; i < 30; i++) {
       JobSpec more = RulesTest.simple("run-more-" + i, "blue", 20, 2);
       jobs.add(more);
-      cluster.clock.after(10L * i, () -> cluster.user(more, 0));
+      cluster.clock.after(10L * i, () -> cluster.submitAndFollow(more, 0));
       cluster.clock.after(1500 + 10L * i, () -> cluster.cancel(more));
     }
-    cluster.clock.runUntil(AT_MS + 2500);
+    cluster.clock.runUntil(FAULTS_AT_MS + 2500);
     cluster.state.outage(70_000);
     cluster.clock.after(6000, () -> cluster.crash(cluster.nodeIndex(holder), 2000));
-    cluster.clock.runUntil(AT_MS + 60_000);
-    assertThat(cluster.checks.toldCancelled).hasSizeGreaterThan(20);
+    cluster.clock.runUntil(FAULTS_AT_MS + 60_000);
+    assertThat(cluster.checks.cancelConfirmedAt).hasSizeGreaterThan(20);
     assertThat(cut)
         .as("sessions that went on")
-        .filteredOn(worker -> !worker.gone && worker.tenure() == 1)
+        .filteredOn(worker -> !worker.terminated && worker.session() == 1)
         .hasSizeGreaterThan(5);
-    int before = cluster.net.lateCommands;
-    cluster.clock.runUntil(AT_MS + 64_000);
-    assertThat(cluster.net.lateCommands - before).as("commands held up").isGreaterThan(3);
-    holds(cluster);
+    int before = cluster.net.commandsAfterTimeout;
+    cluster.clock.runUntil(FAULTS_AT_MS + 64_000);
+    assertThat(cluster.net.commandsAfterTimeout - before).as("commands held up").isGreaterThan(3);
+    runAndVerify(cluster);
   }
 }
--- a/src/test/java/dunlincroft/sim/StartLog.java
+++ b/src/test/java/dunlincroft/sim/StartLog.java
@@ -18,58 +18,58 @@
 final class StartLog {
   private static final String LOGS = Wire.key(Replica.LOGS, "");
 
-  private final Set<String> read = new HashSet<>();
-  private final Set<String> done = new HashSet<>();
-  private final Map<Long, String> tries = new HashMap<>();
+  private final Set<String> seenEntries = new HashSet<>();
+  private final Set<String> doneTasks = new HashSet<>();
+  private final Map<Long, String> startsByAttempt = new HashMap<>();
 
   /** Starts of tasks that an earlier entry names as done. */
-  final List<String> startsOfDone = new ArrayList<>();
+  final List<String> startsOfDoneTasks = new ArrayList<>();
 
   /** Tries that two entries give to different jobs or machines. */
-  final List<String> repeatedTries = new ArrayList<>();
+  final List<String> reusedAttempts = new ArrayList<>();
 
   StartLog(SimCluster cluster) {
-    cluster.net.transactionListeners.add(this::carriedOut);
+    cluster.net.transactionListeners.add(this::onTransaction);
   }
 
   /** Tasks recorded as done so far. */
-  int done() {
-    return done.size();
+  int doneCount() {
+    return doneTasks.size();
   }
 
-  private void carriedOut(String from, ObjectNode body, int status) {
+  private void onTransaction(String from, ObjectNode body, int status) {
     for (JsonNode change : body.path("apply")) {
       String key = change.path("put").asText();
       if (status == 200 && key.startsWith(LOGS)) {
         String shard = key.substring(LOGS.length(), key.lastIndexOf('/'));
-        change.path("data").path("log").forEach(entry -> entry(shard, entry));
+        change.path("data").path("log").forEach(entry -> onLogEntry(shard, entry));
       }
     }
   }
 
-  private void entry(String shard, JsonNode entry) {
+  private void onLogEntry(String shard, JsonNode entry) {
     String ref = entry.path("job").asText();
-    if (!read.add(shard + " " + entry.path("n").asLong() + " " + ref)) {
+    if (!seenEntries.add(shard + " " + entry.path("n").asLong() + " " + ref)) {
       return;
     }
     for (JsonNode group : entry.path("at")) {
       long attempt = group.get(1).asLong();
       String start = ref + " on " + group.get(0).asText();
-      String other = tries.putIfAbsent(attempt, start);
+      String other = startsByAttempt.putIfAbsent(attempt, start);
       if (other != null && !other.equals(start)) {
-        repeatedTries.add(attempt + ": " + other + ", " + start);
+        reusedAttempts.add(attempt + ": " + other + ", " + start);
       }
       for (int i = 2; i < group.size(); i++) {
-        String piece = Wire.taskId(ref, group.get(i).asInt());
-        if (done.contains(piece)) {
-          startsOfDone.add(piece);
+        String taskName = Wire.taskId(ref, group.get(i).asInt());
+        if (doneTasks.contains(taskName)) {
+          startsOfDoneTasks.add(taskName);
         }
       }
     }
     JsonNode ranges = entry.path("done");
     for (int i = 0; i + 1 < ranges.size(); i += 2) {
       for (int task = ranges.get(i).asInt(); task < ranges.get(i + 1).asInt(); task++) {
-        done.add(Wire.taskId(ref, task));
+        doneTasks.add(Wire.taskId(ref, task));
       }
     }
   }
--- a/src/test/java/dunlincroft/sim/CancelledStarts.java
+++ b/src/test/java/dunlincroft/sim/StartsAfterCancellation.java
@@ -8,7 +8,7 @@
  * flight at that moment are allowed for {@code cancel_s}; an order that left later came from a
  * controller that had not read the cancellation yet, which it must have soon.
  */
-final class CancelledStarts {
+final class StartsAfterCancellation {
   /** The rule that a start breaks whose sender must have known better. */
   static final String RULE = "started_cancelled";
 
@@ -16,33 +16,33 @@
   int inFlight;
 
   /** Starts whose order left after that, and the latest that one did. */
-  int leftAfter;
+  int sentAfterConfirmation;
 
-  long latestMs;
+  long maxDelayMs;
 
   private final SimCluster cluster;
 
-  CancelledStarts(SimCluster cluster) {
+  StartsAfterCancellation(SimCluster cluster) {
     this.cluster = cluster;
   }
 
   /** A run order took effect. */
-  void started(SimWorker worker, Task task) {
-    Long told = cluster.checks.toldCancelled.get(task.spec.ref());
-    if (told == null) {
+  void onStart(SimWorker worker, Task task) {
+    Long confirmedAt = cluster.checks.cancelConfirmedAt.get(task.spec.ref());
+    if (confirmedAt == null) {
       return;
     }
-    long after = task.orderLeftAt - told;
-    if (after <= 0) {
+    long delayMs = task.orderSentAt - confirmedAt;
+    if (delayMs <= 0) {
       inFlight++;
       return;
     }
-    leftAfter++;
-    latestMs = Math.max(latestMs, after);
+    sentAfterConfirmation++;
+    maxDelayMs = Math.max(maxDelayMs, delayMs);
     // A controller starts nothing whose picture of the records is older than this.
-    if (after > Constants.MAX_STALENESS_MS) {
-      cluster.checks.broke(
-          RULE, task.piece + " on " + worker.host + ": ordered " + after + " ms after the word");
+    if (delayMs > Constants.MAX_STALENESS_MS) {
+      cluster.checks.recordViolation(
+          RULE, task.name + " on " + worker.host + ": ordered " + delayMs + " ms after the word");
     }
   }
 }
--- a/src/test/java/dunlincroft/sim/WaitingCheck.java
+++ b/src/test/java/dunlincroft/sim/StarvationCheck.java
@@ -17,15 +17,15 @@
  * its team is under its limit. It looks at the machines themselves: what controllers believe of
  * them is no excuse.
  */
-final class WaitingCheck {
+final class StarvationCheck {
   /** No job may wait for longer beside room for it. */
-  static final long WAITING_MS = 90_000;
+  static final long MAX_WAIT_MS = 90_000;
 
   /** A machine that is just up, or just well again, is not counted for so long. */
-  private static final long READY_AFTER_MS = 10_000;
+  private static final long SETTLE_MS = 10_000;
 
   private final SimCluster cluster;
-  private final Checks checks;
+  private final InvariantChecks checks;
 
   /** Since when each machine has been able to take work without a break. */
   private final Map<SimWorker, Long> readySince = new HashMap<>();
@@ -33,69 +33,69 @@
   /** Since when each job has waited beside room for it. */
   private final Map<String, Long> waitingSince = new HashMap<>();
 
-  private final Set<String> found = new HashSet<>();
-  private final MachineType type =
+  private final Set<String> reportedJobs = new HashSet<>();
+  private final MachineType machineType =
       new MachineType(
-          SimCluster.TYPE,
-          Resources.roundedDown(SimCluster.CPUS, 0, 64),
+          SimCluster.MACHINE_TYPE,
+          Resources.roundedDown(SimCluster.CPUS_PER_MACHINE, 0, 64),
           1.5,
           0.5,
           2,
           SimCluster.ZONES);
 
   /** A machine that can take work, what is free of it, and whether it has services. */
-  private record Machine(SimWorker worker, Resources free, boolean services) {}
+  private record Machine(SimWorker worker, Resources free, boolean hasServices) {}
 
-  WaitingCheck(SimCluster cluster, Checks checks) {
+  StarvationCheck(SimCluster cluster, InvariantChecks checks) {
     this.cluster = cluster;
     this.checks = checks;
   }
 
   /** A task of a job came to a machine. */
-  void arrived(String ref) {
+  void onTaskPlaced(String ref) {
     waitingSince.remove(ref);
   }
 
   /** Looks at all jobs; called once a second when the troubles are over. */
-  void sweep() {
+  void check() {
     long now = cluster.clock.now();
-    List<Machine> machines = ready(now);
+    List<Machine> machines = readyMachines(now);
     Map<String, Resources> used = new HashMap<>();
     for (String ref : checks.accepted) {
-      JobSpec spec = cluster.uploaded(ref);
-      Resources room = spec.resources().times(checks.machinesOf(ref).size());
-      used.merge(spec.team(), room, Resources::plus);
+      JobSpec spec = cluster.specOf(ref);
+      Resources resources = spec.resources().times(checks.placedOn(ref).size());
+      used.merge(spec.team(), resources, Resources::plus);
     }
     for (String ref : checks.accepted) {
-      if (!waits(ref) || !hasRoom(cluster.uploaded(ref), machines, used)) {
+      if (!isWaiting(ref) || !hasCapacity(cluster.specOf(ref), machines, used)) {
         waitingSince.remove(ref);
         continue;
       }
       long since = waitingSince.computeIfAbsent(ref, r -> now);
-      if (now - since > WAITING_MS && found.add(ref)) {
-        found(ref, since, machines);
+      if (now - since > MAX_WAIT_MS && reportedJobs.add(ref)) {
+        report(ref, since, machines);
       }
     }
   }
 
-  private void found(String ref, long since, List<Machine> machines) {
-    String what = ref + " since " + since + " beside room for it; " + cause(ref, machines);
-    checks.leftWaitingAmongShards.add(what);
-    checks.broke("left_waiting", what);
+  private void report(String ref, long since, List<Machine> machines) {
+    String detail = ref + " since " + since + " beside room for it; " + diagnosis(ref, machines);
+    checks.starvedJobs.add(detail);
+    checks.recordViolation("left_waiting", detail);
   }
 
   /**
    * What its shard lacks: a part of its team's limit, a machine of its own with room, or neither.
    */
-  private String cause(String ref, List<Machine> machines) {
-    JobSpec spec = cluster.uploaded(ref);
-    JsonNode record = cluster.state.under("d/jobs/").get(ref);
+  private String diagnosis(String ref, List<Machine> machines) {
+    JobSpec spec = cluster.specOf(ref);
+    JsonNode record = cluster.state.dataUnder("d/jobs/").get(ref);
     String shard = record == null ? "" : record.path("shard").asText();
-    Map<String, Long> free = new TreeMap<>(unusedParts(spec.team()));
+    Map<String, Long> free = new TreeMap<>(unusedShares(spec.team()));
     Map<String, String> shardOf = shardsOfMachines();
     Map<String, Integer> fitting = new TreeMap<>();
     for (Machine machine : machines) {
-      if (suits(spec, machine, perZone(ref))) {
+      if (isSuitable(spec, machine, perZone(ref))) {
         fitting.merge(shardOf.getOrDefault(machine.worker.host, "none"), 1, Integer::sum);
       }
     }
@@ -110,20 +110,21 @@
   }
 
   /** What each shard has of a team's limit and its jobs' tasks do not take. */
-  private Map<String, Long> unusedParts(String team) {
+  private Map<String, Long> unusedShares(String team) {
     Map<String, Long> unused = new HashMap<>();
-    JsonNode parts = cluster.state.under("d/shares/").get(team);
-    if (parts != null) {
-      parts
+    JsonNode shares = cluster.state.dataUnder("d/shares/").get(team);
+    if (shares != null) {
+      shares
           .fields()
           .forEachRemaining(
-              part -> unused.put(part.getKey(), part.getValue().path("cpu").asLong()));
+              shareOfShard ->
+                  unused.put(shareOfShard.getKey(), shareOfShard.getValue().path("cpu").asLong()));
     }
     for (String ref : checks.accepted) {
-      JsonNode record = cluster.state.under("d/jobs/").get(ref);
-      JobSpec spec = cluster.uploaded(ref);
+      JsonNode record = cluster.state.dataUnder("d/jobs/").get(ref);
+      JobSpec spec = cluster.specOf(ref);
       if (record != null && spec.team().equals(team)) {
-        long used = spec.resources().cpu() * checks.machinesOf(ref).size();
+        long used = spec.resources().cpu() * checks.placedOn(ref).size();
         unused.merge(record.path("shard").asText(), -used, Long::sum);
       }
     }
@@ -132,7 +133,7 @@
 
   private Map<String, String> shardsOfMachines() {
     Map<String, String> shards = new HashMap<>();
-    for (JsonNode block : cluster.state.under("d/blocks/").values()) {
+    for (JsonNode block : cluster.state.dataUnder("d/blocks/").values()) {
       block
           .path("hosts")
           .fieldNames()
@@ -141,67 +142,68 @@
     return shards;
   }
 
-  private List<Machine> ready(long now) {
+  private List<Machine> readyMachines(long now) {
     readySince.keySet().retainAll(cluster.cloud.machines.values());
     for (SimWorker worker : cluster.cloud.machines.values()) {
-      if (worker.takesWork()) {
+      if (worker.isAvailable()) {
         readySince.putIfAbsent(worker, now);
       } else {
         readySince.remove(worker);
       }
     }
     return readySince.entrySet().stream()
-        .filter(entry -> now - entry.getValue() >= READY_AFTER_MS)
+        .filter(entry -> now - entry.getValue() >= SETTLE_MS)
         .map(Map.Entry::getKey)
-        .map(worker -> new Machine(worker, worker.free(), worker.hasService()))
+        .map(worker -> new Machine(worker, worker.freeCapacity(), worker.hasService()))
         .toList();
   }
 
   /** Whether a job that nobody called off has a task that is neither done nor on a machine. */
-  private boolean waits(String ref) {
-    if (checks.askedCancel.contains(ref)
-        || checks.toldFinal.containsKey(ref)
-        || cluster.broken.contains(ref)) {
+  private boolean isWaiting(String ref) {
+    if (checks.cancelRequested.contains(ref)
+        || checks.finalStates.containsKey(ref)
+        || cluster.failingJobs.contains(ref)) {
       return false;
     }
-    int done = checks.completed.getOrDefault(ref, Set.of()).size();
-    return done + checks.machinesOf(ref).size() < cluster.uploaded(ref).taskCount();
+    int done = checks.completedTasks.getOrDefault(ref, Set.of()).size();
+    return done + checks.placedOn(ref).size() < cluster.specOf(ref).taskCount();
   }
 
-  private boolean hasRoom(JobSpec spec, List<Machine> machines, Map<String, Resources> used) {
+  private boolean hasCapacity(JobSpec spec, List<Machine> machines, Map<String, Resources> used) {
     Resources limit = cluster.settings.teams().get(spec.team()).limit();
-    Resources after = used.getOrDefault(spec.team(), Resources.NONE).plus(spec.resources());
-    if (!after.fitsInto(limit)) {
+    Resources usedAfterStart =
+        used.getOrDefault(spec.team(), Resources.NONE).plus(spec.resources());
+    if (!usedAfterStart.fitsInto(limit)) {
       return false;
     }
     Map<String, Integer> perZone = perZone(spec.ref());
-    return machines.stream().anyMatch(machine -> suits(spec, machine, perZone));
+    return machines.stream().anyMatch(machine -> isSuitable(spec, machine, perZone));
   }
 
   private Map<String, Integer> perZone(String ref) {
     Map<String, Integer> perZone = new HashMap<>();
-    checks.machinesOf(ref).forEach(worker -> perZone.merge(worker.hall, 1, Integer::sum));
+    checks.placedOn(ref).forEach(worker -> perZone.merge(worker.zone, 1, Integer::sum));
     return perZone;
   }
 
-  private boolean suits(JobSpec spec, Machine machine, Map<String, Integer> perZone) {
-    String zone = machine.worker.hall;
-    boolean apart = spec.sameZone() && !perZone.isEmpty() && !perZone.containsKey(zone);
-    boolean cheap = machine.worker.cheap;
-    return !apart
+  private boolean isSuitable(JobSpec spec, Machine machine, Map<String, Integer> perZone) {
+    String zone = machine.worker.zone;
+    boolean inOtherZone = spec.sameZone() && !perZone.isEmpty() && !perZone.containsKey(zone);
+    boolean spot = machine.worker.spot;
+    return !inOtherZone
         && perZone.getOrDefault(zone, 0) < spec.maxTasksPerZone()
-        && spec.allows(SimCluster.TYPE, zone, cheap)
-        && (!cheap || cluster.policy.isSpotEnabled(spec))
-        && spec.resources().fitsInto(machine.free.minus(kept(spec, machine)));
+        && spec.allows(SimCluster.MACHINE_TYPE, zone, spot)
+        && (!spot || cluster.policy.isSpotEnabled(spec))
+        && spec.resources().fitsInto(machine.free.minus(reservedCapacity(spec, machine)));
   }
 
   /** What the operators keep free of a machine. */
-  private Resources kept(JobSpec spec, Machine machine) {
-    String zone = machine.worker.hall;
-    double part = 1 - cluster.policy.loadBound(type, zone, machine.worker.cheap);
-    if (spec.rank() != Rank.PROD && machine.services) {
-      part += cluster.policy.serviceReserve(type, zone, machine.worker.cheap);
+  private Resources reservedCapacity(JobSpec spec, Machine machine) {
+    String zone = machine.worker.zone;
+    double reservedFraction = 1 - cluster.policy.loadBound(machineType, zone, machine.worker.spot);
+    if (spec.rank() != Rank.PROD && machine.hasServices) {
+      reservedFraction += cluster.policy.serviceReserve(machineType, zone, machine.worker.spot);
     }
-    return new Resources((long) (type.resources().cpu() * part), 0, 0);
+    return new Resources((long) (machineType.resources().cpu() * reservedFraction), 0, 0);
   }
 }
--- a/src/test/java/dunlincroft/sim/SupplyTest.java
+++ b/src/test/java/dunlincroft/sim/SupplyTest.java
@@ -24,18 +24,19 @@
 
   private void work(long atMs, int pieces) {
     String ref = "run-w" + atMs;
-    cluster.clock.after(atMs, () -> cluster.user(RulesTest.simple(ref, "blue", pieces, 2), 0));
+    cluster.clock.after(
+        atMs, () -> cluster.submitAndFollow(RulesTest.simple(ref, "blue", pieces, 2), 0));
   }
 
   private void rulesHold() {
-    assertThat(cluster.checks.broken).isEmpty();
-    assertThat(cluster.checks.toldFinal).hasSize(cluster.jobs());
+    assertThat(cluster.checks.violations).isEmpty();
+    assertThat(cluster.checks.finalStates).hasSize(cluster.submittedJobs());
   }
 
   /** Hosts of all recorded blocks; Checks sees to it that none stands in two. */
   private List<String> leased() {
     List<String> hosts = new ArrayList<>();
-    for (JsonNode block : cluster.state.under("d/blocks/").values()) {
+    for (JsonNode block : cluster.state.dataUnder("d/blocks/").values()) {
       block.path("hosts").fieldNames().forEachRemaining(hosts::add);
     }
     return hosts;
@@ -43,12 +44,12 @@
 
   @Test
   void whatOneZoneRefusesIsRentedInOthers() {
-    cloud.refused.addAll(List.of("a", "c"));
+    cloud.zonesWithoutCapacity.addAll(List.of("a", "c"));
     work(5000, 90);
     cluster.clock.runUntil(20_000);
     assertThat(cloud.machines).hasSizeGreaterThan(8);
     assertThat(cloud.machines.values().stream().skip(5))
-        .allMatch(worker -> worker.hall.equals("b"));
+        .allMatch(worker -> worker.zone.equals("b"));
     cluster.clock.runUntil(120_000);
     rulesHold();
   }
@@ -57,8 +58,8 @@
   @Test
   void workersThatReportBeforeTheRentalIsAnsweredAreLeasedOnce() {
     cloud.bootMs = 0;
-    cloud.answerMs = 3000;
-    cloud.most = 40;
+    cloud.answerDelayMs = 3000;
+    cloud.maxMachines = 40;
     work(5000, 60);
     cluster.clock.runUntil(20_000);
     assertThat(leased()).doesNotHaveDuplicates().hasSameSizeAs(cloud.machines.keySet());
@@ -76,7 +77,7 @@
     assertThat(late).isPositive();
     cloud.bootMs = 2000;
     cluster.clock.runUntil(150_000);
-    assertThat(cloud.released).isGreaterThanOrEqualTo(late);
+    assertThat(cloud.releasedMachines).isGreaterThanOrEqualTo(late);
     rulesHold();
   }
 
@@ -87,10 +88,10 @@
     int most = cloud.machines.size();
     assertThat(most).isGreaterThan(8);
     cluster.clock.runUntil(55_000);
-    assertThat(cloud.released).as("paid for a minute all the same").isZero();
+    assertThat(cloud.releasedMachines).as("paid for a minute all the same").isZero();
     cluster.clock.runUntil(180_000);
     assertThat(cloud.machines.size()).isLessThan(most - 3);
-    assertThat(cloud.tasksReleased).isZero();
+    assertThat(cloud.tasksLostToRelease).isZero();
     rulesHold();
   }
 
@@ -101,7 +102,7 @@
     SimWorker unexpected = cloud.rent("b", true);
     work(10_000, 40);
     cluster.clock.runUntil(14_000);
-    cloud.failed.add(lost.host);
+    cloud.failedHosts.add(lost.host);
     lost.hang(1_000_000);
     cluster.clock.runUntil(30_000);
     assertThat(leased()).contains(unexpected.host).doesNotContain(lost.host);
@@ -116,7 +117,7 @@
     cluster.clock.runUntil(10_000);
     cloud.machines.values().forEach(worker -> worker.hang(12_000));
     cluster.clock.runUntil(24_000);
-    assertThat(cloud.tasksReleased).isZero();
+    assertThat(cloud.tasksLostToRelease).isZero();
     cluster.clock.runUntil(150_000);
     rulesHold();
   }
--- a/src/test/java/dunlincroft/sim/TakeoverTest.java
+++ b/src/test/java/dunlincroft/sim/TakeoverTest.java
@@ -27,23 +27,23 @@
   private enum Fault {
     LINKS_REFUSED_AS_THE_BUSIEST_CRASHES(
         cluster -> {
-          cluster.refuseLinks(20_000);
-          cluster.crashHolder(30_000);
+          cluster.refusePeerConnections(20_000);
+          cluster.crashOwner(30_000);
         }),
-    BUSIEST_CUT_FROM_WORKERS(cluster -> cluster.cutHolderFromWorkers(25_000)),
-    BUSIEST_CUT_FROM_STATE(cluster -> cluster.cutHolder(25_000)),
-    BUSIEST_CUT_FROM_CONTROLLERS(cluster -> cluster.cutHolderFromControllers(25_000)),
-    HOLDER_PAUSES_1S(cluster -> cluster.freezeHolder(1000)),
-    HOLDER_PAUSES_5S(cluster -> cluster.freezeHolder(5000)),
-    HOLDER_PAUSES_40S(cluster -> cluster.freezeHolder(40_000)),
+    BUSIEST_CUT_FROM_WORKERS(cluster -> cluster.cutOwnerFromWorkers(25_000)),
+    BUSIEST_CUT_FROM_STATE(cluster -> cluster.cutOwnerFromState(25_000)),
+    BUSIEST_CUT_FROM_CONTROLLERS(cluster -> cluster.cutOwnerFromControllers(25_000)),
+    HOLDER_PAUSES_1S(cluster -> cluster.pauseOwner(1000)),
+    HOLDER_PAUSES_5S(cluster -> cluster.pauseOwner(5000)),
+    HOLDER_PAUSES_40S(cluster -> cluster.pauseOwner(40_000)),
     SUCCESSORS_PAUSE_TOO(
         cluster -> {
-          cluster.crashHolder(30_000);
-          cluster.clock.after(700, () -> cluster.freezeAll(3000));
+          cluster.crashOwner(30_000);
+          cluster.clock.after(700, () -> cluster.pauseAll(3000));
         }),
     TWO_FAIL_WITHIN_A_SECOND(
         cluster -> {
-          cluster.crashHolder(30_000);
+          cluster.crashOwner(30_000);
           cluster.clock.after(500, () -> cluster.crash(3, 20_000));
         }),
     ALL_FIVE(
@@ -68,22 +68,22 @@
     ZONE_CUT_WITH_ITS_CONTROLLERS(cluster -> cluster.cutZone("a", 40_000)),
     MACHINES_DIE_AS_THE_BUSIEST_DOES(
         cluster -> {
-          cluster.crashHolder(30_000);
+          cluster.crashOwner(30_000);
           List<SimWorker> workers = List.copyOf(cluster.cloud.machines.values());
           for (int i = 0; i < workers.size(); i += 4) {
             SimWorker worker = workers.get(i);
             if (i % 8 == 0) {
               cluster.cloud.machines.remove(worker.host);
-              worker.die();
+              worker.terminate();
             } else {
               worker.hang(15_000);
             }
           }
         }),
-    BUSIEST_BACK_AT_ONCE(cluster -> cluster.crashHolder(AT_ONCE_MS)),
+    BUSIEST_BACK_AT_ONCE(cluster -> cluster.crashOwner(AT_ONCE_MS)),
     BUSIEST_ENDS_TEN_TIMES(
         cluster -> {
-          int busiest = cluster.nodeIndex(cluster.holderName());
+          int busiest = cluster.nodeIndex(cluster.ownerName());
           for (int i = 0; i < 10; i++) {
             cluster.clock.after(i * 500L, () -> cluster.crash(busiest, AT_ONCE_MS));
           }
@@ -102,33 +102,33 @@
         }),
     CHANGES_OF_A_FORMER_LIFE_COME_LATE(
         cluster -> {
-          int busiest = cluster.nodeIndex(cluster.holderName());
-          cluster.cutHolder(4000);
+          int busiest = cluster.nodeIndex(cluster.ownerName());
+          cluster.cutOwnerFromState(4000);
           cluster.clock.after(1000, () -> cluster.crash(busiest, AT_ONCE_MS));
         }),
     ORDERS_OF_A_FORMER_LIFE_COME_LATE(
         cluster -> {
-          int busiest = cluster.nodeIndex(cluster.holderName());
-          cluster.cutHolderFromWorkers(6000);
+          int busiest = cluster.nodeIndex(cluster.ownerName());
+          cluster.cutOwnerFromWorkers(6000);
           cluster.clock.after(1000, () -> cluster.crash(busiest, AT_ONCE_MS));
         }),
     BEATS_OF_A_FORMER_LIFE_COME_LATE(
         cluster -> {
-          int busiest = cluster.nodeIndex(cluster.holderName());
-          cluster.cutHolderFromControllers(3000);
+          int busiest = cluster.nodeIndex(cluster.ownerName());
+          cluster.cutOwnerFromControllers(3000);
           cluster.clock.after(1000, () -> cluster.crash(busiest, AT_ONCE_MS));
         }),
     SUCCESSORS_END_AND_ARE_BACK_AT_ONCE(
         cluster -> {
-          cluster.crashHolder(30_000);
+          cluster.crashOwner(30_000);
           for (int i = 1; i <= 6; i++) {
-            cluster.clock.after(700L * i, () -> cluster.crashHolder(AT_ONCE_MS));
+            cluster.clock.after(700L * i, () -> cluster.crashOwner(AT_ONCE_MS));
           }
         }),
     STATE_SLOW_AS_THE_BUSIEST_CRASHES(
         cluster -> {
-          cluster.slowState(30, 20_000);
-          cluster.clock.after(2000, () -> cluster.crashHolder(30_000));
+          cluster.slowStateService(30, 20_000);
+          cluster.clock.after(2000, () -> cluster.crashOwner(30_000));
         });
 
     private final Consumer<SimCluster> act;
@@ -144,20 +144,20 @@
 
   private static SimCluster busy(long seed, Policy policy) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, policy, Size.FLEET);
-    cluster.checks.troublesOver(FAULT_MS + 80_000);
+    cluster.checks.setFaultsEnd(FAULT_MS + 80_000);
     Random random = new Random(seed);
     for (int i = 0; i < Size.FLEET.jobs(); i++) {
       JobSpec spec = RulesTest.job(random, i);
       long cancelAfter = spec.isService() ? 100_000 : 0;
-      cluster.clock.after(5000 + 300L * i, () -> cluster.user(spec, cancelAfter));
+      cluster.clock.after(5000 + 300L * i, () -> cluster.submitAndFollow(spec, cancelAfter));
     }
     return cluster;
   }
 
   private static void rulesHold(SimCluster cluster) {
-    assertThat(cluster.checks.broken).isEmpty();
-    assertThat(cluster.checks.accepted).hasSize(cluster.jobs());
-    assertThat(cluster.checks.toldFinal).as("every job ends").hasSize(cluster.jobs());
+    assertThat(cluster.checks.violations).isEmpty();
+    assertThat(cluster.checks.accepted).hasSize(cluster.submittedJobs());
+    assertThat(cluster.checks.finalStates).as("every job ends").hasSize(cluster.submittedJobs());
   }
 
   @ParameterizedTest
@@ -197,7 +197,7 @@
       value = Fault.class,
       names = {"ZONE_CUT_WITH_ITS_CONTROLLERS", "MACHINES_DIE_AS_THE_BUSIEST_DOES"})
   void noJobIsLeftWaitingAmongSeveralShards(Fault fault) throws MalformedException {
-    assertThat(playedWithSeveralHolders(fault).checks.leftWaitingAmongShards).isEmpty();
+    assertThat(playedWithSeveralHolders(fault).checks.starvedJobs).isEmpty();
   }
 
   private static SimCluster playedWithSeveralHolders(Fault fault) throws MalformedException {
@@ -214,26 +214,26 @@
     SimCluster cluster = busy(13);
     // There is always something that waits for room.
     JobSpec many = RulesTest.simple("run-many", "blue", 3000, 1);
-    cluster.clock.after(15_000, () -> cluster.user(many, 0));
+    cluster.clock.after(15_000, () -> cluster.submitAndFollow(many, 0));
     cluster.clock.runUntil(FAULT_MS);
-    String first = cluster.holderName();
-    cluster.crashHolder(60_000);
+    String first = cluster.ownerName();
+    cluster.crashOwner(60_000);
     long until = cluster.clock.now() + 4000;
-    while (cluster.holderName().equals(first) && cluster.clock.now() < until) {
+    while (cluster.ownerName().equals(first) && cluster.clock.now() < until) {
       cluster.clock.runUntil(cluster.clock.now() + 10);
     }
-    String second = cluster.holderName();
+    String second = cluster.ownerName();
     assertThat(second).isNotEqualTo(first);
     cluster.clock.runUntil(cluster.clock.now() + after);
     int node = cluster.nodeIndex(second);
     if (still) {
-      cluster.freeze(node, 30_000);
+      cluster.pauseNode(node, 30_000);
     } else {
       cluster.crash(node, 30_000);
     }
     // An ended process is succeeded at once, however short a time ago the shard changed hands.
     cluster.clock.runUntil(cluster.clock.now() + (still ? 6000 : 1500));
-    assertThat(cluster.holderName()).isNotIn(first, second);
+    assertThat(cluster.ownerName()).isNotIn(first, second);
     int before = cluster.checks.starts;
     cluster.clock.runUntil(cluster.clock.now() + 6000);
     assertThat(cluster.checks.starts).as("the third starts work").isGreaterThan(before);
@@ -249,18 +249,18 @@
     SimCluster cluster = busy(14);
     // There is always something that waits for room.
     JobSpec many = RulesTest.simple("run-many", "blue", 4000, 1);
-    cluster.clock.after(15_000, () -> cluster.user(many, 0));
+    cluster.clock.after(15_000, () -> cluster.submitAndFollow(many, 0));
     cluster.clock.runUntil(FAULT_MS);
-    String first = cluster.holderName();
-    cluster.crashHolder(60_000);
+    String first = cluster.ownerName();
+    cluster.crashOwner(60_000);
     cluster.clock.runUntil(FAULT_MS + 1100);
-    assertThat(cluster.holderName()).isNotEqualTo(first);
+    assertThat(cluster.ownerName()).isNotEqualTo(first);
     int before = cluster.checks.starts;
     cluster.clock.runUntil(FAULT_MS + 1600);
     assertThat(cluster.checks.starts).as("starts by the successor").isGreaterThan(before);
     cluster.clock.runUntil(FAULT_MS + 20_000);
-    assertThat(cluster.cloud.tasksReleased).isZero();
-    assertThat(cluster.checks.broken).isEmpty();
+    assertThat(cluster.cloud.tasksLostToRelease).isZero();
+    assertThat(cluster.checks.violations).isEmpty();
   }
 
   /**
@@ -274,15 +274,15 @@
       cluster.crash(node, 1000);
     }
     cluster.clock.runUntil(FAULT_MS + 2500);
-    JsonNode leader = cluster.state.under("d/leader/").get("one");
-    JsonNode there = cluster.state.under("d/controllers/").get(leader.path("name").asText());
+    JsonNode leader = cluster.state.dataUnder("d/leader/").get("one");
+    JsonNode there = cluster.state.dataUnder("d/controllers/").get(leader.path("name").asText());
     assertThat(leader.path("incarnation")).isEqualTo(there.path("incarnation"));
     int before = cluster.checks.starts;
     cluster.clock.runUntil(FAULT_MS + 4000);
     assertThat(cluster.checks.starts).isGreaterThan(before);
     cluster.clock.runUntil(FAULT_MS + 20_000);
-    assertThat(cluster.cloud.tasksReleased).isZero();
-    assertThat(cluster.checks.broken).isEmpty();
+    assertThat(cluster.cloud.tasksLostToRelease).isZero();
+    assertThat(cluster.checks.violations).isEmpty();
   }
 
   /**
@@ -293,18 +293,18 @@
   void aCommonRestartLeavesEverybodyReady() throws MalformedException {
     SimCluster cluster = busy(18);
     cluster.clock.runUntil(FAULT_MS);
-    cluster.slowState(100, 5000);
+    cluster.slowStateService(100, 5000);
     cluster.crashAll(AT_ONCE_MS);
     cluster.clock.runUntil(FAULT_MS + AT_ONCE_MS + 50);
     for (int node = 0; node < cluster.nodeCount(); node++) {
-      assertThat(cluster.ready(node)).isTrue();
+      assertThat(cluster.isReady(node)).isTrue();
     }
     cluster.clock.runUntil(FAULT_MS + 30_000);
     cluster.cutFromState(0, 8000);
     cluster.crash(0, AT_ONCE_MS);
     cluster.clock.runUntil(FAULT_MS + 31_000);
-    assertThat(cluster.ready(0)).isFalse();
-    assertThat(cluster.ready(1)).isTrue();
+    assertThat(cluster.isReady(0)).isFalse();
+    assertThat(cluster.isReady(1)).isTrue();
     cluster.clock.runUntil(600_000);
     rulesHold(cluster);
   }
@@ -315,15 +315,15 @@
   void aHolderWithBadLinksKeepsItsShard(double loss) throws MalformedException {
     SimCluster cluster = busy(15);
     cluster.clock.runUntil(FAULT_MS);
-    String first = cluster.holderName();
+    String first = cluster.ownerName();
     if (loss < 1) {
-      cluster.loseOnLinks(cluster.nodeIndex(first), loss);
+      cluster.setPacketLoss(cluster.nodeIndex(first), loss);
     } else {
-      cluster.refuseLinks(40_000);
+      cluster.refusePeerConnections(40_000);
     }
     for (int i = 0; i < 80; i++) {
       cluster.clock.runUntil(cluster.clock.now() + 500);
-      assertThat(cluster.holderName()).isEqualTo(first);
+      assertThat(cluster.ownerName()).isEqualTo(first);
     }
     cluster.clock.runUntil(600_000);
     rulesHold(cluster);
@@ -338,12 +338,12 @@
   void servicesOfACutZoneStartElsewhere(long ms, boolean released) throws MalformedException {
     SimCluster cluster = busy(16);
     cluster.clock.runUntil(FAULT_MS);
-    String zone = cluster.zoneWithoutTheHolder();
+    String zone = cluster.zoneWithoutOwner();
     cluster.cutZone(zone, ms);
     cluster.clock.runUntil(FAULT_MS + 5500);
-    assertThat(cluster.cloud.tasksReleased).as("in the first half").isZero();
+    assertThat(cluster.cloud.tasksLostToRelease).as("in the first half").isZero();
     cluster.clock.runUntil(FAULT_MS + 17_500);
-    assertThat(cluster.cloud.tasksReleased > 0).isEqualTo(released);
+    assertThat(cluster.cloud.tasksLostToRelease > 0).isEqualTo(released);
     cluster.clock.runUntil(600_000);
     rulesHold(cluster);
   }
@@ -357,11 +357,11 @@
   void aTakeoverDoesNotProlongAZonesCut(long seed) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(FAULT_MS);
-    cluster.cutZone(cluster.zoneWithoutTheHolder(), 40_000);
+    cluster.cutZone(cluster.zoneWithoutOwner(), 40_000);
     cluster.clock.runUntil(FAULT_MS + 5500);
-    cluster.crashHolder(60_000);
+    cluster.crashOwner(60_000);
     cluster.clock.runUntil(FAULT_MS + 11_500);
-    assertThat(cluster.cloud.tasksReleased).isPositive();
+    assertThat(cluster.cloud.tasksLostToRelease).isPositive();
     cluster.clock.runUntil(600_000);
     rulesHold(cluster);
   }
--- a/src/test/java/dunlincroft/sim/TypesTest.java
+++ b/src/test/java/dunlincroft/sim/TypesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Who knows no machine types accepts nothing: they must come by way of the record, and soon. */
-class TypesTest extends MeetingScenario {
+class TypesTest extends OverlappingFaultsScenario {
   private static final int JOBS = 12;
   private static final long CLOUD_BACK_MS = 3000;
   private static final long OUTAGE_MS = 4000;
@@ -27,30 +27,30 @@
   @ValueSource(longs = {1, 2, 3})
   void typesThatCouldNotBeRecordedAreRecordedSoon(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
-    cluster.checks.troublesOver(70_000);
+    cluster.checks.setFaultsEnd(70_000);
     for (int node = 0; node < cluster.nodeCount(); node++) {
-      cluster.refuseCloud(node, CLOUD_BACK_MS);
+      cluster.refuseCloudToNode(node, CLOUD_BACK_MS);
     }
     cluster.clock.runUntil(CLOUD_BACK_MS + 1);
     int leader = cluster.leader();
     assertThat(leader).isNotNegative();
     for (int node = 0; node < cluster.nodeCount(); node++) {
       if (node != leader) {
-        cluster.refuseCloud(node, 60_000);
+        cluster.refuseCloudToNode(node, 60_000);
       }
     }
     cluster.state.outage(OUTAGE_MS);
     cluster.clock.runUntil(CLOUD_BACK_MS + OUTAGE_MS);
-    assertThat(cluster.state.under("d/types/")).as("not recorded in the outage").isEmpty();
+    assertThat(cluster.state.dataUnder("d/types/")).as("not recorded in the outage").isEmpty();
     Random random = new Random(seed);
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = PairsTest.job(random, i);
-      cluster.connect(spec.ref(), (leader + 1 + i % 4) % cluster.nodeCount());
-      cluster.user(spec, spec.isService() ? 100_000 : 0);
+      cluster.pinConnection(spec.ref(), (leader + 1 + i % 4) % cluster.nodeCount());
+      cluster.submitAndFollow(spec, spec.isService() ? 100_000 : 0);
     }
     cluster.clock.runUntil(CLOUD_BACK_MS + OUTAGE_MS + SOON_MS);
     assertThat(cluster.leader()).isEqualTo(leader);
     assertThat(cluster.checks.accepted).as("accepted by others than the leader").hasSize(JOBS);
-    holds(cluster);
+    runAndVerify(cluster);
   }
 }
--- a/src/test/java/dunlincroft/sim/OddRequests.java
+++ b/src/test/java/dunlincroft/sim/UnusualRequests.java
@@ -15,9 +15,9 @@
  * Users that send what can never run or lacks a field, repeat submissions of unfinished jobs, and
  * cancel jobs that are done.
  */
-final class OddRequests {
-  private static final long SUBMIT_MS = 5000;
-  private static final int EACH_MS = 700;
+final class UnusualRequests {
+  private static final long SUBMIT_TIMEOUT_MS = 5000;
+  private static final int MAX_INTERVAL_MS = 700;
 
   /** Fields that no submission may lack. */
   static final List<String> REQUIRED =
@@ -41,128 +41,130 @@
           "flushS");
 
   /** Why a job can never run. */
-  enum Impossible {
+  enum Infeasibility {
     UNKNOWN_TEAM(job -> job.put("owner", "green")),
     UNKNOWN_TYPE(job -> job.putArray("flavours").add("m64")),
     NO_TYPE(job -> job.putArray("flavours")),
     UNKNOWN_ZONE(job -> job.put("hall", "z")),
-    TOO_MANY_CPUS(job -> job.put("cpus", SimCluster.CPUS + 0.5)),
+    TOO_MANY_CPUS(job -> job.put("cpus", SimCluster.CPUS_PER_MACHINE + 0.5)),
     TOO_MUCH_MEMORY(job -> job.put("ramGb", 64.25)),
-    A_GPU(job -> job.put("gpus", 1)),
+    UNAVAILABLE_GPU(job -> job.put("gpus", 1)),
     TASK_OVER_LIMIT(job -> job.put("owner", "red").put("cpus", 40.5)),
     SERVICE_OVER_LIMIT(
         job -> job.put("owner", "red").put("shape", "daemon").put("cpus", 14).put("pieces", 3));
 
     private final java.util.function.Consumer<ObjectNode> change;
 
-    Impossible(java.util.function.Consumer<ObjectNode> change) {
+    Infeasibility(java.util.function.Consumer<ObjectNode> change) {
       this.change = change;
     }
 
     /** Whether this can be told without the machine types. */
-    boolean byTeam() {
+    boolean dependsOnlyOnTeam() {
       return this == UNKNOWN_TEAM || this == TASK_OVER_LIMIT || this == SERVICE_OVER_LIMIT;
     }
   }
 
   private final SimCluster cluster;
   private final Random random;
-  private long until;
-  private int sent;
+  private long activeUntil;
+  private int sentCount;
 
   /** Answers to jobs that can never run, and to those that lack a field, by status. */
-  final Map<Integer, Integer> impossible = new HashMap<>();
+  final Map<Integer, Integer> infeasible = new HashMap<>();
 
-  final Map<Integer, Integer> lacking = new HashMap<>();
+  final Map<Integer, Integer> missingField = new HashMap<>();
 
   /** Jobs that were done when they were cancelled, and submissions repeated of open jobs. */
   int cancelsOfDone;
 
-  int repeated;
+  int repeatedSubmissions;
 
-  OddRequests(SimCluster cluster, long seed) {
+  UnusualRequests(SimCluster cluster, long seed) {
     this.cluster = cluster;
     random = new Random(seed);
   }
 
   /** Such requests come for so many milliseconds. */
-  void during(long ms) {
-    boolean going = cluster.clock.now() < until;
-    until = Math.max(until, cluster.clock.now() + ms);
-    if (!going) {
-      some();
+  void enableFor(long ms) {
+    boolean active = cluster.clock.now() < activeUntil;
+    activeUntil = Math.max(activeUntil, cluster.clock.now() + ms);
+    if (!active) {
+      sendSome();
     }
   }
 
-  private void some() {
-    if (cluster.clock.now() >= until) {
+  private void sendSome() {
+    if (cluster.clock.now() >= activeUntil) {
       return;
     }
-    Impossible[] all = Impossible.values();
-    impossible(cluster.anyNode(), all[random.nextInt(all.length)]);
-    lacking(cluster.anyNode(), REQUIRED.get(random.nextInt(REQUIRED.size())));
-    repeatOpen();
-    cancelDone();
-    cluster.clock.after(random.nextInt(EACH_MS), this::some);
+    Infeasibility[] all = Infeasibility.values();
+    infeasible(cluster.randomNode(), all[random.nextInt(all.length)]);
+    missingField(cluster.randomNode(), REQUIRED.get(random.nextInt(REQUIRED.size())));
+    repeatOpenSubmission();
+    cancelDoneJob();
+    cluster.clock.after(random.nextInt(MAX_INTERVAL_MS), this::sendSome);
   }
 
-  private void repeatOpen() {
+  private void repeatOpenSubmission() {
     List<String> open = new ArrayList<>(cluster.checks.accepted);
-    open.removeAll(cluster.checks.toldFinal.keySet());
+    open.removeAll(cluster.checks.finalStates.keySet());
     open.sort(null);
     if (!open.isEmpty()) {
-      repeated++;
-      JobSpec spec = cluster.uploaded(open.get(random.nextInt(open.size())));
-      cluster.closeLooks.submit(cluster.anyNode(), spec);
+      repeatedSubmissions++;
+      JobSpec spec = cluster.specOf(open.get(random.nextInt(open.size())));
+      cluster.requestBursts.submit(cluster.randomNode(), spec);
     }
   }
 
-  private void cancelDone() {
-    List<String> done = new ArrayList<>(cluster.checks.toldFinal.keySet());
-    done.removeIf(ref -> !cluster.checks.toldFinal.get(ref).equals("done"));
+  private void cancelDoneJob() {
+    List<String> done = new ArrayList<>(cluster.checks.finalStates.keySet());
+    done.removeIf(ref -> !cluster.checks.finalStates.get(ref).equals("done"));
     done.sort(null);
     if (!done.isEmpty()) {
       cancelsOfDone++;
-      JobSpec spec = cluster.uploaded(done.get(random.nextInt(done.size())));
-      cluster.closeLooks.cancel(cluster.anyNode(), spec);
-      cluster.closeLooks.submit(cluster.anyNode(), spec);
+      JobSpec spec = cluster.specOf(done.get(random.nextInt(done.size())));
+      cluster.requestBursts.cancel(cluster.randomNode(), spec);
+      cluster.requestBursts.submit(cluster.randomNode(), spec);
     }
   }
 
-  private ObjectNode usual() {
+  private ObjectNode validJob() {
     try {
-      return PairsTest.job(random, 0).toNode().put("ref", "run-odd-" + sent++);
+      return PairsTest.job(random, 0).toNode().put("ref", "run-odd-" + sentCount++);
     } catch (MalformedException e) {
       throw new IllegalStateException(e);
     }
   }
 
   /** Submits a job that can never run. */
-  void impossible(int node, Impossible why) {
-    ObjectNode job = usual().put("shape", "batch").put("owner", "blue");
-    why.change.accept(job);
-    send(node, job, 422, why.name(), impossible);
+  void infeasible(int node, Infeasibility reason) {
+    ObjectNode job = validJob().put("shape", "batch").put("owner", "blue");
+    reason.change.accept(job);
+    send(node, job, 422, reason.name(), infeasible);
   }
 
   /** Submits a job that lacks a field. */
-  void lacking(int node, String field) {
-    ObjectNode job = usual();
+  void missingField(int node, String field) {
+    ObjectNode job = validJob();
     job.remove(field);
-    send(node, job, 400, "no " + field, lacking);
+    send(node, job, 400, "no " + field, missingField);
   }
 
   private void send(
-      int node, ObjectNode job, int refusal, String why, Map<Integer, Integer> count) {
+      int node, ObjectNode job, int expectedStatus, String reason, Map<Integer, Integer> count) {
     cluster.net.call(
         "user",
-        new Env.Call(cluster.nodeAddress(node), "POST", "/submissions", Cbor.bytes(job), SUBMIT_MS),
+        new Env.Call(
+            cluster.nodeAddress(node), "POST", "/submissions", Cbor.bytes(job), SUBMIT_TIMEOUT_MS),
         reply -> {
           count.merge(reply.status(), 1, Integer::sum);
           try {
-            boolean clear =
+            boolean hasReason =
                 reply.body().length > 0
                     && !Cbor.parse(reply.body()).path("error").asText().isEmpty();
-            cluster.checks.refused(job.path("ref").asText(), why, refusal, reply.status(), clear);
+            cluster.checks.onRefusal(
+                job.path("ref").asText(), reason, expectedStatus, reply.status(), hasReason);
           } catch (MalformedException e) {
             throw new IllegalStateException(e);
           }
--- a/src/test/java/dunlincroft/sim/VirtualClock.java
+++ b/src/test/java/dunlincroft/sim/VirtualClock.java
@@ -4,7 +4,7 @@
 
 /** Simulated time: events run in order of time, then of their making. */
 public final class VirtualClock {
-  private record Event(long at, long order, Runnable what) {}
+  private record Event(long at, long order, Runnable action) {}
 
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
@@ -16,15 +16,15 @@
     return now;
   }
 
-  public void after(long ms, Runnable what) {
-    events.add(new Event(now + Math.max(0, ms), order++, what));
+  public void after(long ms, Runnable action) {
+    events.add(new Event(now + Math.max(0, ms), order++, action));
   }
 
   public void runUntil(long end) {
     while (!events.isEmpty() && events.peek().at <= end) {
       Event event = events.poll();
       now = event.at;
-      event.what.run();
+      event.action.run();
     }
     now = end;
   }
