--- a/src/test/java/dunlincroft/sim/CancellationLog.java
+++ b/src/test/java/dunlincroft/sim/CancellationLog.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 /**
- * Which jobs the state service knows as cancelled, since when and of which shard, and whether any
- * start of theirs was recorded after that.
+ * Records when the cancellation of each job was written to the state service, the shard of each
+ * job, and any start of a cancelled job that was recorded afterwards.
  */
 final class CancellationLog {
   private static final String JOBS = Wire.key(Replica.JOBS, "");
@@ -23,19 +23,22 @@
   private final Map<String, String> shards = new HashMap<>();
   private final Set<String> endedJobs = new HashSet<>();
 
-  /** When the cancellation of each job was carried out. */
+  /** When the cancellation of each job was written. */
   final Map<String, Long> recordedAt = new HashMap<>();
 
-  /** Starts that were recorded for the first time when their job's cancellation stood. */
+  /** Starts that were first recorded after the cancellation of their job was written. */
   final List<String> startsAfterCancellation = new ArrayList<>();
 
-  /** Late ones of jobs that had ended: nobody runs these, and readers of the log pass over them. */
+  /**
+   * Starts recorded after the end of their job. They are harmless: no worker runs them, and readers
+   * of the log ignore them.
+   */
   int startsAfterEnd;
 
-  /** Starts recorded in all. */
+  /** All starts recorded. */
   final Set<String> starts = new HashSet<>();
 
-  /** Cancellations that came when the job's end was written already. */
+  /** Cancellations rejected because the end of the job had already been written. */
   int cancelledAfterEnd;
 
   CancellationLog(SimCluster cluster) {
@@ -43,17 +46,19 @@
     cluster.net.transactionListeners.add(this::onTransaction);
   }
 
-  /** The shard of a job; null: not accepted yet. */
+  /** The shard of a job; null if the job has not been accepted yet. */
   String shardOf(String ref) {
     return shards.get(ref);
   }
 
-  /** Whether a job is accepted and neither ended nor cancelled. */
+  /** Whether a job has been accepted and has neither ended nor been cancelled. */
   boolean isOpen(String ref) {
     return shards.containsKey(ref) && !endedJobs.contains(ref) && !recordedAt.containsKey(ref);
   }
 
-  /** Jobs of a shard whose users were told between two moments that they are cancelled. */
+  /**
+   * Number of jobs of a shard whose cancellation was confirmed to their users between two times.
+   */
   long confirmedCancellations(String shard, long from, long to) {
     return cluster.checks.cancelConfirmedAt.entrySet().stream()
         .filter(each -> each.getValue() >= from && each.getValue() <= to)
@@ -94,7 +99,7 @@
     String ref = entry.path("job").asText();
     for (JsonNode group : entry.path("at")) {
       for (int i = 2; i < group.size(); i++) {
-        String start = Wire.taskId(ref, group.get(i).asInt()) + " try " + group.get(1).asLong();
+        String start = Wire.taskId(ref, group.get(i).asInt()) + " attempt " + group.get(1).asLong();
         if (!starts.add(start)) {
           continue;
         }
--- a/src/test/java/dunlincroft/sim/DelayedCommands.java
+++ b/src/test/java/dunlincroft/sim/DelayedCommands.java
@@ -5,24 +5,24 @@
 import java.util.List;
 
 /**
- * Commands that are held up on their way: their sender gets no answer, and they are carried out
- * once, seconds later, if the receiver still takes them.
+ * Commands that are delayed in transit: their sender gets no answer, and they are carried out once,
+ * seconds later, if the receiver still accepts them.
  */
 final class DelayedCommands {
-  /** The least and the most that a command is held up, in milliseconds. */
+  /** Minimum and maximum delay of a command. */
   private static final int MIN_DELAY_MS = 2000;
 
   private static final int MAX_DELAY_MS = 16_000;
 
-  /** Which commands are held up. */
+  /** Selects the commands to delay. */
   interface Selector {
     boolean matches(String from, String to, ObjectNode body);
   }
 
-  /** A command that came late: carried out, or refused for its token or session. */
+  /** A command that arrived late: accepted, or rejected because of its fence token or session. */
   record Arrival(
       String from, String to, ObjectNode body, long sentAt, long arrivedAt, boolean accepted) {
-    /** Whether it says this of a try of a task. */
+    /** Whether it contains this order for an attempt of a task. */
     boolean contains(String verb, String task, long attempt) {
       for (var order : body.path("orders")) {
         if (order.path("verb").asText().equals(verb)
@@ -35,19 +35,19 @@
     }
   }
 
-  /** Direct commands to workers that are held up. */
+  /** Selects the direct commands to workers that are delayed. */
   Selector commands = (from, to, body) -> false;
 
-  /** Releases of machines that are held up. */
+  /** Selects the releases of machines that are delayed. */
   Selector releases = (from, to, body) -> false;
 
-  /** How long each is held up, where a test says it; 0: 2 to 16 s. */
+  /** Delay of each command if the test sets one; 0: 2 to 16 s. */
   long fixedDelayMs;
 
-  /** All that came late so far, in order. */
+  /** All delayed commands that have arrived, in order. */
   final List<Arrival> arrivals = new ArrayList<>();
 
-  /** Commands that were held up so far. */
+  /** Number of commands delayed so far. */
   int delayedCount;
 
   private final SimNet net;
@@ -58,7 +58,7 @@
     this.clock = clock;
   }
 
-  /** Holds a request up if it is one of those; its sender hears nothing. */
+  /** Delays a request if it is selected; its sender gets no answer. */
   boolean delayIfSelected(String from, String to, String path, ObjectNode body) {
     boolean selected =
         switch (path) {
@@ -69,7 +69,8 @@
     if (selected) {
       delayedCount++;
       long sentAt = clock.now();
-      // Its own luck: days without late commands stay as they were.
+      // Derived from time and count, not drawn from the shared random generator: runs
+      // without late commands stay the same.
       long ms =
           fixedDelayMs > 0
               ? fixedDelayMs
--- a/src/test/java/dunlincroft/sim/DelayedHeartbeats.java
+++ b/src/test/java/dunlincroft/sim/DelayedHeartbeats.java
@@ -8,14 +8,15 @@
 import java.util.function.Consumer;
 
 /**
- * Reports that come to whoever acts next: copies reach every controller as it begins, and others
- * that were held up on their way arrive after it has acted.
+ * Worker heartbeats that reach the next owner of a shard: copies arrive at every controller when
+ * the change of ownership is recorded, and delayed heartbeats arrive after the new owner's first
+ * write.
  */
 final class DelayedHeartbeats {
-  /** Copies are with all controllers within a second of the beginning. */
+  /** Copies reach all controllers within a second of the recorded change of ownership. */
   private static final int MAX_COPY_DELAY_MS = 900;
 
-  /** Held up reports come so long after the first write of the new holder. */
+  /** Maximum time from the new owner's first write until a delayed heartbeat arrives. */
   private static final int MAX_DELAY_AFTER_WRITE_MS = 3000;
 
   private static final long ANSWER_TIMEOUT_MS = 4000;
@@ -33,13 +34,15 @@
   private final List<DelayedHeartbeat> copies = new ArrayList<>();
   private final List<DelayedHeartbeat> delayed = new ArrayList<>();
 
-  /** Old copies that each controller answered within a second of a new holder's beginning. */
+  /**
+   * Stale copies that each controller answered within a second of a recorded change of ownership.
+   */
   final int[] staleCopiesAtTakeover;
 
-  /** Old reports that reached the new holder after it had answered their worker. */
+  /** Stale heartbeats that reached the new owner after it had already answered their worker. */
   int staleAfterAnswer;
 
-  /** Those of them of an earlier session of the worker. */
+  /** Those of {@link #staleAfterAnswer} that came from an earlier session of the worker. */
   int staleOfEarlierSessions;
 
   DelayedHeartbeats(SimCluster cluster) {
@@ -47,14 +50,14 @@
     staleCopiesAtTakeover = new int[cluster.nodeCount()];
   }
 
-  /** Copies of such a part of all reports are kept for the next holder. */
+  /** Keeps copies of a fraction of all heartbeats for the next change of ownership. */
   void copyForNextOwner(double share, long ms) {
     listenForChanges();
     copyShare = share;
     cluster.clock.after(ms, () -> copyShare = 0);
   }
 
-  /** Such a part of all reports is held up until the next holder has acted. */
+  /** Delays a fraction of all heartbeats until the next owner has made its first write. */
   void delayForNextOwner(double share, long ms) {
     listenForChanges();
     delayShare = share;
@@ -68,7 +71,10 @@
     }
   }
 
-  /** Whether a report that leaves now is held up: its worker gets no answer. */
+  /**
+   * Copies or delays a heartbeat that is being sent. Returns whether it is delayed; its worker then
+   * gets no answer.
+   */
   boolean intercept(SimWorker worker, byte[] report, long session, long counter) {
     if (copyShare > 0 && cluster.random.nextDouble() < copyShare) {
       copies.add(new DelayedHeartbeat(worker, report, session, counter));
--- a/src/test/java/dunlincroft/sim/InjectedFault.java
+++ b/src/test/java/dunlincroft/sim/InjectedFault.java
@@ -5,13 +5,17 @@
 import java.util.List;
 import java.util.function.ObjLongConsumer;
 
-/** Every known trouble, for some time; what strikes a controller strikes the one that holds now. */
+/**
+ * Every kind of fault that tests inject for some time. A fault of one controller hits the one that
+ * owns the first leased shard at that moment. The order is part of the tests: they choose faults by
+ * index.
+ */
 enum InjectedFault {
   STATE_OUTAGE((cluster, ms) -> cluster.state.outage(ms)),
   STATE_REFUSES_OWNER(SimCluster::refuseStateToOwner),
   STATE_SLOW((cluster, ms) -> cluster.slowStateService(30, ms)),
   LATE_WRITES((cluster, ms) -> cluster.delayWrites(0.3, ms)),
-  /** What is written is carried out at once, and others read it; the answer is lost. */
+  /** Writes are executed at once and visible to other readers, but their answers are lost. */
   LOST_ANSWERS(
       (cluster, ms) -> cluster.loseAnswers(EnumSet.allOf(LostAnswers.Kind.class), 0.3, ms)),
   LATE_WRITES_AND_FAST_BOOTS(
@@ -73,7 +77,10 @@
         cluster.delayedHeartbeats.delayForNextOwner(0.05, ms);
       }),
 
-  /** Where several hold machines, the shard that another takes goes back to it after a while. */
+  /**
+   * Where several controllers own machines, another controller acquires the shard and returns it
+   * after a while.
+   */
   SHARD_ACQUIRED_AND_RETURNED((cluster, ms) -> cluster.crashLastOwner(2000)),
   CLOUD_DOWN(SimCluster::cutCloud),
   REQUEST_BURSTS((cluster, ms) -> cluster.requestBursts.enableFor(ms)),
@@ -90,7 +97,7 @@
     this.injection = injection;
   }
 
-  /** Strikes now, for so many milliseconds where it lasts at all. */
+  /** Injects the fault now, for {@code ms} if it is one that lasts. */
   void inject(SimCluster cluster, long ms) {
     injection.accept(cluster, ms);
   }
--- a/src/test/java/dunlincroft/sim/InvariantChecks.java
+++ b/src/test/java/dunlincroft/sim/InvariantChecks.java
@@ -14,7 +14,10 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** The rules of PROTOCOL, checked from outside: on the machines, and in what users are told. */
+/**
+ * Checks the rules of the PROTOCOL document from outside: by the tasks on the machines, and by the
+ * answers to users.
+ */
 final class InvariantChecks {
   private final SimCluster cluster;
   final List<String> violations = new ArrayList<>();
@@ -26,25 +29,28 @@
   private final Map<String, Long> finalStateAt = new HashMap<>();
   private final Map<String, Long> acceptedAt = new HashMap<>();
 
-  /** When users first asked for their jobs, and when the first task of each ran. */
+  /** When users first submitted their jobs, and when the first task of each job ran. */
   private final Map<String, Long> submittedAt = new HashMap<>();
 
   private final Map<String, Long> firstStartAt = new HashMap<>();
 
-  /** Services all of whose replicas ran at once. */
+  /** Services all of whose replicas have run at the same time. */
   private final Set<String> fullyRunningServices = new HashSet<>();
 
   int starts;
 
-  /** How long after its user was told that its job is cancelled each late task began. */
+  /**
+   * For each task that started after the user got the confirmation of the cancellation: how long
+   * after it.
+   */
   final List<Long> startedAfterCancelMs = new ArrayList<>();
 
-  /** No job may go without an answer for longer than this, once all troubles are over. */
+  /** Once all faults have ended, no job may go without a successful answer for longer than this. */
   static final long MAX_UNANSWERED_MS = 75_000;
 
   private static final long LARGEST_START_WITHIN_MS = 240_000;
 
-  /** When the last trouble is over; before that, silence is nobody's fault. */
+  /** When the last fault ends; before that, missing answers are not counted. */
   private long faultsEndAt = Long.MAX_VALUE;
 
   private final Map<String, Long> lastAnswerAt = new HashMap<>();
@@ -55,18 +61,18 @@
   private long windowFrom;
   private long windowTo;
 
-  /** Tasks of the window's class that began. */
+  /** Starts of tasks of the class that is restricted to a time window. */
   int windowClassStarts;
 
-  /** Tasks stopped by command. */
+  /** Tasks stopped by a kill order. */
   int stoppedTasks;
 
-  /** Leases of workers that ended, and tasks that ran on their machines. */
+  /** Worker leases that expired, and the tasks that were lost with them. */
   int expiredLeases;
 
   long tasksLostToLease;
 
-  /** Tries of tasks that can only fail. */
+  /** Attempts of tasks that can only fail. */
   int failingAttempts;
 
   /** Starts after a confirmed cancellation. */
@@ -74,7 +80,10 @@
 
   private final StarvationCheck starvationCheck;
 
-  /** Jobs left waiting beside room; each breaks the rule {@code left_waiting} as well. */
+  /**
+   * Jobs left waiting although capacity was free; each violates the rule {@code left_waiting} as
+   * well.
+   */
   final List<String> starvedJobs = new ArrayList<>();
 
   InvariantChecks(SimCluster cluster) {
@@ -83,7 +92,7 @@
     starvationCheck = new StarvationCheck(cluster, this);
   }
 
-  /** The machine of each task of a job that is on one, fetching ones included. */
+  /** The machine of each placed task of a job, including tasks that still fetch their image. */
   List<SimWorker> placedOn(String ref) {
     return placed(ref).stream().map(placement -> placement.worker).toList();
   }
@@ -92,12 +101,12 @@
     violations.add(cluster.clock.now() + " " + rule + ": " + detail);
   }
 
-  /** A task that took room on a machine. */
+  /** A task that occupies capacity on a machine. */
   private record PlacedTask(SimWorker worker, Task task) {}
 
   private final Map<String, List<PlacedTask>> placedTasks = new HashMap<>();
 
-  /** The tasks of a job that are on machines now, fetching ones included. */
+  /** The tasks of a job that are on machines now, including those that still fetch their image. */
   private List<PlacedTask> placed(String ref) {
     List<PlacedTask> list = placedTasks.computeIfAbsent(ref, r -> new ArrayList<>());
     list.removeIf(
@@ -107,7 +116,7 @@
     return list;
   }
 
-  /** A run order took effect: the task now takes room and may run. */
+  /** A run order took effect: the task now occupies capacity and may run. */
   void onTaskPlaced(SimWorker worker, Task task) {
     startsAfterCancellation.onStart(worker, task);
     String owner = task.spec.team();
@@ -129,12 +138,11 @@
     }
     if (!sum.fitsInto(limit)) {
       recordViolation(
-          "quota",
-          owner + " takes " + sum + ": " + all.stream().map(PlacedTask::toString).toList());
+          "quota", owner + " uses " + sum + ": " + all.stream().map(PlacedTask::toString).toList());
     }
   }
 
-  /** The task's image is present: it is on its machine. */
+  /** The task's image has been fetched, and the task runs. */
   void onTaskStarted(SimWorker worker, Task task) {
     starts++;
     JobSpec spec = task.spec;
@@ -154,7 +162,7 @@
       if (each.worker.zone.equals(worker.zone)) {
         inZone++;
       } else if (spec.sameZone()) {
-        recordViolation("wrong_place", task.name + " apart from " + otherTask.name);
+        recordViolation("wrong_place", task.name + " in another zone than " + otherTask.name);
       }
     }
     if (!spec.allows(SimCluster.MACHINE_TYPE, worker.zone, worker.spot)
@@ -175,7 +183,7 @@
     }
   }
 
-  /** Whether a phase of the ledger lets a task begin in a zone. */
+  /** Whether a phase of the migration ledger lets a task start in a zone. */
   interface ZoneRule {
     boolean allows(String phase, String zone);
   }
@@ -186,7 +194,10 @@
   private String previousPhase = "";
   private long phaseSince;
 
-  /** Tasks of jobs named so begin only where the ledger's record lets them. */
+  /**
+   * Tasks of jobs with this prefix may start only in zones that the phase of the migration record
+   * allows.
+   */
   void restrictToZones(String prefix, ZoneRule allowed) {
     zoneRulePrefix = prefix;
     zoneRule = allowed;
@@ -207,7 +218,8 @@
       return;
     }
     readPhase();
-    // A start that was recorded before a step may be on its way for as long as its order is.
+    // A start that was recorded before a change of phase may still take effect while its
+    // order is in flight.
     boolean allowedBefore =
         cluster.clock.now() - phaseSince < START_IN_FLIGHT_MS
             && zoneRule.allows(previousPhase, worker.zone);
@@ -216,27 +228,30 @@
     }
   }
 
-  /** An order, its repetition by the next report, and the fetch that it begins. */
+  /**
+   * Time for an order, its repetition in the answer to the next heartbeat, and the image fetch that
+   * follows.
+   */
   private static final long START_IN_FLIGHT_MS = 8000;
 
-  /** Zones of the tasks of a job that run. */
+  /** The zones of the running tasks of a job. */
   List<String> zones(String ref) {
     return workersRunning(ref).stream().map(worker -> worker.zone).toList();
   }
 
-  /** Tasks of a class begin from one moment to another, by true time, and never else. */
+  /** Tasks of a class may start only from one time to another, by the simulated time. */
   void restrictToWindow(String jobclass, long from, long to) {
     windowClass = jobclass;
     windowFrom = from;
     windowTo = to;
   }
 
-  /** The same on other machines than these. */
+  /** Number of running tasks of a job on other machines than these. */
   int runningElsewhere(String ref, List<SimWorker> excluded) {
     return (int) workersRunning(ref).stream().filter(worker -> !excluded.contains(worker)).count();
   }
 
-  /** Tasks of a job that run now. */
+  /** Number of tasks of a job that run now. */
   int running(String ref) {
     return workersRunning(ref).size();
   }
@@ -246,7 +261,7 @@
     return workersRunning(ref);
   }
 
-  /** The machine of each task of a job that runs. */
+  /** The machine of each running task of a job. */
   private List<SimWorker> workersRunning(String ref) {
     return placed(ref).stream()
         .filter(placement -> placement.task.status.equals("running"))
@@ -262,7 +277,10 @@
     }
   }
 
-  /** A machine that hung goes on: what is on it now runs, whose time may be over. */
+  /**
+   * Checks that no task on a machine belongs to a job that was cancelled too long ago; also called
+   * when a hung machine resumes.
+   */
   void onWorkerResumed(SimWorker worker) {
     for (Task task : worker.tasks.values()) {
       if (task.isActive()) {
@@ -275,7 +293,9 @@
     faultsEndAt = endMs;
   }
 
-  /** Every accepted job that nobody cancelled gets an answer to some question in time. */
+  /**
+   * Every accepted job that nobody cancelled must get a successful answer to some query in time.
+   */
   private void checkForgotten() {
     long now = cluster.clock.now();
     for (String ref : accepted) {
@@ -290,7 +310,10 @@
     }
   }
 
-  /** Milliseconds from a user's first request until a task of the job ran; a long time if never. */
+  /**
+   * Milliseconds from a user's first request until a task of the job ran; a very large number if
+   * none has.
+   */
   long startDelayMs(String ref) {
     return firstStartAt.getOrDefault(ref, Long.MAX_VALUE / 4) - submittedAt.get(ref);
   }
@@ -299,7 +322,7 @@
     submittedAt.put(spec.ref(), cluster.clock.now());
   }
 
-  /** The jobs of a class, and of them its largest tenth, one at the least. */
+  /** Jobs grouped by class and by team, and the largest tenth of each class, at least one job. */
   private Map<String, List<String>> groups() {
     Map<String, List<String>> groups = new HashMap<>();
     for (String ref : submittedAt.keySet()) {
@@ -320,8 +343,9 @@
   }
 
   /**
-   * The least share of any class's, any team's or any class's largest jobs of which a task ran
-   * within so many milliseconds of being asked for; of those that were asked for long enough ago.
+   * The minimum, over all groups (each class, each team, the largest jobs of each class), of the
+   * share of jobs of which a task ran within {@code withinMs} of the first request. Only jobs that
+   * were requested at least that long ago count.
    */
   double minStartedShare(long withinMs) {
     return minShare(
@@ -329,7 +353,10 @@
         ref -> firstStartAt.getOrDefault(ref, Long.MAX_VALUE) - submittedAt.get(ref) <= withinMs);
   }
 
-  /** The same for jobs that were served to the end: done, or for services fully up once. */
+  /**
+   * The same minimum for jobs that have ended, or, for services, have had all replicas running at
+   * the same time.
+   */
   double minDoneShare() {
     return minShare(
         ref -> true,
@@ -351,7 +378,7 @@
     return minimum;
   }
 
-  /** The largest jobs of each class that had not begun within four minutes. */
+  /** The largest jobs of each class of which no task had started within four minutes. */
   List<String> largestStartedLate() {
     return groups().entrySet().stream()
         .filter(group -> group.getKey().startsWith("largest"))
@@ -372,7 +399,7 @@
     }
   }
 
-  /** Looks at every machine, once a second. */
+  /** Checks all machines and records; called once a second. */
   void checkAll() {
     cluster.cloud.machines.values().forEach(this::onWorkerResumed);
     checkRecords();
@@ -386,9 +413,9 @@
   }
 
   /**
-   * Notes machines that are gone, have left all blocks, and are back in one. No rule forbids it: a
-   * list of the cloud that lags still shows what another controller has just released. By a lease
-   * it must not happen, which {@link GhostBlocksTest} asserts.
+   * Notes machines that no longer exist, had left all blocks, and are in a block again. No rule
+   * forbids this: a stale listing of the cloud still contains machines that another controller has
+   * just released. It must not happen through a lease, which {@link GhostBlocksTest} asserts.
    */
   private void trackReturnedMachines(Set<String> inBlocks) {
     for (String host : inBlocks) {
@@ -406,13 +433,16 @@
     }
   }
 
-  /** Such machines. */
+  /** Machines that came back into a block after they had been released. */
   final Set<String> returnedMachines = new HashSet<>();
 
   private final Set<String> seenInBlocks = new HashSet<>();
   private final Set<String> leftAllBlocks = new HashSet<>();
 
-  /** A job's tasks are recorded on machines of its own shard alone: whoever takes it finds them. */
+  /**
+   * The tasks of a job must be recorded only on machines of the job's own shard, so that the next
+   * owner of the shard finds them.
+   */
   private void checkRecords() {
     Map<String, JsonNode> jobs = openJobs();
     Map<String, JsonNode> shards = new HashMap<>();
@@ -448,7 +478,7 @@
     return jobs;
   }
 
-  /** Tasks of a job that are recorded on some of these machines. */
+  /** Number of tasks of a job that are recorded on any of these machines. */
   long recordedTasksOn(List<SimWorker> machines, String ref) {
     Map<String, JsonNode> jobs = openJobs();
     List<String> hosts = machines.stream().map(worker -> worker.host).toList();
@@ -457,7 +487,7 @@
         .count();
   }
 
-  /** Hosts by task, as pages and the later entries of the log say. */
+  /** Hosts by task, according to the pages and the log entries that are newer than their page. */
   private Map<String, String> recordedHosts(Map<String, JsonNode> jobs) {
     Map<String, String> hosts = new HashMap<>();
     Map<String, Long> pageUpTo = new HashMap<>();
@@ -527,12 +557,15 @@
     return at.getOrDefault(ref, Long.MAX_VALUE) < sentAt;
   }
 
-  /** The most tasks of a job that any user was told to be done. */
+  /** The highest number of done tasks of a job in any answer to a user. */
   int maxDoneReported(String ref) {
     return reportedProgress.doneBefore(ref, Long.MAX_VALUE);
   }
 
-  /** A job that can never run or lacks a field got an answer: it is refused, and says why. */
+  /**
+   * Checks the answer to a job that can never run or lacks a field: it must be rejected with the
+   * expected status and a reason.
+   */
   void onRefusal(String ref, String reason, int expectedStatus, int status, boolean hasReason) {
     if (status == 200 || status == 201) {
       recordViolation("accepted_odd", ref + ": " + reason);
@@ -543,7 +576,10 @@
     }
   }
 
-  /** A user got an answer to a request sent at {@code sentAt}. */
+  /**
+   * Checks the answer to a request that a user sent at {@code sentAt}, including the number of done
+   * tasks.
+   */
   void onAnswer(JobSpec spec, int status, JsonNode answer, long sentAt) {
     onAnswer(spec, status, answer.path("status").asText(), sentAt);
     if ((status == 200 || status == 201) && answer.has("done")) {
@@ -556,7 +592,7 @@
     }
   }
 
-  /** A user got an answer with a state, to a request sent at {@code sentAt}. */
+  /** Checks the job state in the answer to a request that a user sent at {@code sentAt}. */
   void onAnswer(JobSpec spec, int status, String state, long sentAt) {
     String ref = spec.ref();
     boolean acceptedBefore = happenedBefore(acceptedAt, ref, sentAt);
--- a/src/test/java/dunlincroft/sim/LostAnswers.java
+++ b/src/test/java/dunlincroft/sim/LostAnswers.java
@@ -11,31 +11,31 @@
 import java.util.function.IntPredicate;
 
 /**
- * Loses answers of the state service to what it has carried out, of chosen kinds of calls; what was
- * written shows to all others at once.
+ * Drops answers of the state service to chosen kinds of calls that it has executed. What was
+ * written is visible to all readers at once.
  */
 final class LostAnswers {
-  /** Every kind of call by which the controllers change something at the state service. */
+  /** Every kind of call by which controllers change something in the state service. */
   enum Kind {
     /** A job is accepted. */
     ACCEPTANCE,
     CANCEL,
-    /** A job's end takes the place of its description. */
+    /** A job's end replaces its description. */
     END,
-    /** Placements and completions go to a shard's log. */
+    /** Placements and completions are written to a shard's log. */
     LOG,
     PAGE,
     /** Pages of ended jobs are removed. */
     PAGE_REMOVAL,
-    /** The leader leases new machines as blocks. */
+    /** The leader leases new machines to shards as blocks. */
     NEW_BLOCK,
-    /** A holder hands machines to another shard. */
+    /** An owner transfers machines to another shard. */
     BLOCK_MOVED,
-    /** A block is rewritten as it is, for a higher fence. */
+    /** A block is rewritten unchanged to obtain a higher fence token. */
     FENCE,
-    /** Released machines leave their block. */
+    /** Released machines are removed from their block. */
     RELEASE,
-    /** The leader records the teams' limits. */
+    /** The leader records the teams' limits as shares of the shards. */
     SHARES_CREATED,
     SHARE_MOVED,
     SESSION_LEASE,
@@ -43,7 +43,7 @@
     /** A controller's own record. */
     CONTROLLER,
     LEADER,
-    /** A shard is taken or handed back. */
+    /** A shard is acquired or returned. */
     SHARD,
     LEASES,
     TYPES,
@@ -109,7 +109,7 @@
   private Set<Kind> kinds = EnumSet.noneOf(Kind.class);
   private double share;
 
-  /** Answers lost so far. */
+  /** Number of answers lost so far, by kind. */
   final Map<Kind, Integer> lost = new EnumMap<>(Kind.class);
 
   LostAnswers(SimState state, Random random) {
@@ -117,7 +117,7 @@
     this.random = random;
   }
 
-  /** From now on that share of the answers to calls of these kinds is lost. */
+  /** From now on, loses this share of the answers to calls of these kinds. */
   void lose(Set<Kind> selectedKinds, double lossShare) {
     kinds = selectedKinds;
     share = lossShare;
@@ -127,7 +127,9 @@
     return lost.getOrDefault(kind, 0);
   }
 
-  /** Whether the answer with a status, to a call that is about to be carried out, is to be lost. */
+  /**
+   * Decides for a call that is about to be executed whether its answer, given the status, is lost.
+   */
   IntPredicate selectLoss(Call call, ObjectNode body) {
     boolean changes = call.path().equals("/multi") || call.path().startsWith("/holds");
     if (share == 0 || !changes) {
--- a/src/test/java/dunlincroft/sim/OrderLog.java
+++ b/src/test/java/dunlincroft/sim/OrderLog.java
@@ -5,9 +5,12 @@
 import java.util.List;
 import java.util.Set;
 
-/** Every order that took effect at a worker, with its sender and the moment at which it left. */
+/** Every order that took effect at a worker, with its sender and the time at which it was sent. */
 final class OrderLog {
-  /** An order as it was carried out; {@code direct} if it did not come in an answer to a report. */
+  /**
+   * An order as it was carried out; {@code direct} if it came as a direct command and not in the
+   * answer to a heartbeat.
+   */
   record ExecutedOrder(
       long executedAt,
       long sentAt,
@@ -20,7 +23,10 @@
 
   final List<ExecutedOrder> executed = new ArrayList<>();
 
-  /** Tries that ran anew on a machine which had forgotten them by order: none may. */
+  /**
+   * Attempts that were started again on a machine after a reap order had removed them there. There
+   * must be none.
+   */
   final List<ExecutedOrder> rerunAfterReap = new ArrayList<>();
 
   private final Set<String> reapedAttempts = new HashSet<>();
--- a/src/test/java/dunlincroft/sim/OverlappingFaultsScenario.java
+++ b/src/test/java/dunlincroft/sim/OverlappingFaultsScenario.java
@@ -11,21 +11,29 @@
 import java.util.Random;
 import java.util.function.ToIntFunction;
 
-/** What tests of meetings of troubles share: a busy cluster, users that cancel, and the end. */
+/**
+ * Common parts of tests in which faults coincide: a busy cluster, users that cancel, and the final
+ * verification.
+ */
 abstract class OverlappingFaultsScenario {
-  /** When the troubles of most tests begin. */
+  /** When the faults of most tests begin. */
   static final long FAULTS_AT_MS = 40_000;
 
-  /** When a cluster must have ended all its jobs. */
+  /** When all jobs of a cluster must have ended. */
   private static final long DEADLINE_MS = 700_000;
 
-  /** So long a cluster is watched after its last job has ended. */
+  /** How long a cluster is observed after its last job has ended. */
   private static final long SETTLE_MS = 60_000;
 
-  /** The jobs of the cluster that {@link #busyCluster} made, in the order in which they come. */
+  /**
+   * The jobs of the cluster that {@link #busyCluster} created, in the order of their submission.
+   */
   final List<JobSpec> jobs = new ArrayList<>();
 
-  /** A cluster in which jobs come for a while; whoever is cancelled is, around the meeting. */
+  /**
+   * A cluster to which 100 jobs are submitted, one every half second; services are cancelled 150 s
+   * after their submission.
+   */
   SimCluster busyCluster(long seed, Policy policy) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, policy, Size.FLEET);
     cluster.checks.setFaultsEnd(FAULTS_AT_MS + 90_000);
@@ -43,7 +51,7 @@
     return busyCluster(seed, Policy.DEFAULT);
   }
 
-  /** Users cancel every so many-th job from now on, one after the other. */
+  /** Cancels every {@code step}-th job, one every {@code intervalMs} from now on. */
   void cancelEveryNth(SimCluster cluster, int step, long intervalMs) {
     for (int i = 0; i < jobs.size(); i += step) {
       JobSpec spec = jobs.get(i);
@@ -53,7 +61,7 @@
     }
   }
 
-  /** Users call off all services now: the cluster ends sooner. */
+  /** Cancels all services now, so that the run ends sooner. */
   void cancelServices(SimCluster cluster) {
     for (JobSpec spec : jobs) {
       if (spec.isService() && cluster.specOf(spec.ref()) != null) {
@@ -62,23 +70,26 @@
     }
   }
 
-  /** The sum of a figure over all machines that the cloud has. */
+  /** The sum of a value over all machines of the cloud. */
   static int sum(SimCluster cluster, ToIntFunction<SimWorker> value) {
     return cluster.cloud.machines.values().stream().mapToInt(value).sum();
   }
 
-  /** Plays to the end: no rule is broken, and every job ends. */
+  /** Runs to the deadline and verifies that no rule is violated and every job has ended. */
   static void runAndVerify(SimCluster cluster) {
     runAndVerify(cluster, DEADLINE_MS);
   }
 
-  /** The same for a day that is over sooner. */
+  /** The same with a deadline of its own. */
   static void runAndVerify(SimCluster cluster, long endMs) {
     cluster.clock.runUntil(endMs);
     verify(cluster);
   }
 
-  /** The same, for as long as jobs go on and a while beyond; by an earlier moment. */
+  /**
+   * Runs until all jobs have ended and for a while after that, at the latest until {@code endMs},
+   * and verifies the same.
+   */
   static void runAndVerifyBy(SimCluster cluster, long endMs) {
     while (cluster.checks.finalStates.size() < cluster.submittedJobs()
         && cluster.clock.now() < endMs) {
@@ -90,11 +101,13 @@
 
   private static void verify(SimCluster cluster) {
     assertThat(cluster.checks.violations).isEmpty();
-    assertThat(cluster.orderLog.rerunAfterReap).as("tries that run again after a reap").isEmpty();
+    assertThat(cluster.orderLog.rerunAfterReap)
+        .as("attempts that run again after a reap")
+        .isEmpty();
     assertThat(cluster.checks.finalStates).as("every job ends").hasSize(cluster.submittedJobs());
   }
 
-  /** The same, without playing on for long once every job has ended. */
+  /** The same with the usual deadline. */
   static void runUntilDoneAndVerify(SimCluster cluster) {
     runAndVerifyBy(cluster, DEADLINE_MS);
   }
--- a/src/test/java/dunlincroft/sim/OwnershipChanges.java
+++ b/src/test/java/dunlincroft/sim/OwnershipChanges.java
@@ -11,11 +11,12 @@
 import java.util.function.Consumer;
 
 /**
- * When shards change hands, as the transactions show that the state service carries out: the last
- * write of the old holder, the record, the first write and the first placements of the new one.
+ * Observes changes of shard ownership in the transactions that the state service executes: the last
+ * write of the old owner, the ownership record, and the first write and first placements of the new
+ * owner.
  */
 final class OwnershipChanges {
-  /** Something has not happened yet. */
+  /** Time of something that has not happened yet. */
   static final long NOT_YET = Long.MAX_VALUE;
 
   private static final String PUT = "put";
@@ -24,13 +25,15 @@
   private static final String BLOCKS = Wire.key(Replica.BLOCKS, "");
   private static final String SHARES = Wire.key(Replica.SHARES, "");
 
-  /** One change of hands of one shard, also from one life of a controller to its next. */
+  /**
+   * One change of ownership of one shard, also from one incarnation of a controller to its next.
+   */
   static final class Change {
     final String shard;
     final String from;
     final String to;
 
-    /** Written by the old holder itself. */
+    /** Whether the old owner itself wrote the record (a planned handover). */
     final boolean planned;
 
     final long lastOldWriteAt;
@@ -49,14 +52,14 @@
     }
   }
 
-  /** What can be seen of a change, in its order. */
+  /** The observed steps of a change, in order. */
   enum Step {
     RECORDED,
     FIRST_WRITE,
     FIRST_PLACEMENT
   }
 
-  /** Told of each step as it is seen. */
+  /** Notified of each step as it is observed. */
   interface Listener {
     void onStep(Step step, Change change);
   }
@@ -65,7 +68,10 @@
   final List<Change> changes = new ArrayList<>();
   final List<Listener> listeners = new ArrayList<>();
 
-  /** Told of the shard that gave, as a block or a part of a share goes to another shard. */
+  /**
+   * Notified of the source shard when a block or a part of a team's share is transferred to another
+   * shard.
+   */
   final List<Consumer<String>> transferListeners = new ArrayList<>();
 
   int blocksTransferred;
--- a/src/test/java/dunlincroft/sim/ReportedProgress.java
+++ b/src/test/java/dunlincroft/sim/ReportedProgress.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 
 /**
- * How many tasks of each job users were told to be done. A question that was sent after some answer
- * had arrived, whichever node gave it, may not be told of fewer.
+ * How many done tasks of each job were reported to users. A query that is sent after some answer
+ * has arrived must not be answered with fewer, whichever nodes give the two answers.
  */
 final class ReportedProgress {
-  /** The most that had been told when an answer arrived. */
+  /** The highest number that had been reported when an answer arrived. */
   private record Progress(long atMs, int done) {}
 
-  /** By job, each entry with more done than the one before. */
+  /** By job; each entry has more done tasks than the one before. */
   private final Map<String, List<Progress>> progressByJob = new HashMap<>();
 
-  /** What had been told already when a question was sent. */
+  /** The highest number that had been reported before a query was sent. */
   int doneBefore(String ref, long sentAt) {
     int done = 0;
     for (Progress each : progressByJob.getOrDefault(ref, List.of())) {
@@ -25,7 +25,7 @@
     return done;
   }
 
-  /** An answer arrived. */
+  /** Notes an answer that has arrived. */
   void onAnswer(String ref, int done, long atMs) {
     List<Progress> all = progressByJob.computeIfAbsent(ref, r -> new ArrayList<>());
     if (all.isEmpty() || all.get(all.size() - 1).done < done) {
--- a/src/test/java/dunlincroft/sim/RequestBursts.java
+++ b/src/test/java/dunlincroft/sim/RequestBursts.java
@@ -8,18 +8,18 @@
 import java.util.Set;
 
 /**
- * Users that look closely: as soon as a job is accepted, ends or is confirmed as cancelled they ask
- * at all nodes within milliseconds and repeat the submission; some cancel at once. Others cancel,
- * ask and submit again around the end of a job's last task.
+ * Users that send bursts of requests: as soon as a job is accepted, done or confirmed as cancelled,
+ * they query all nodes within milliseconds and repeat the submission; some cancel the job
+ * immediately. Others cancel, query and resubmit around the end of a job's last task.
  */
 final class RequestBursts {
   private static final long QUERY_TIMEOUT_MS = 2000;
   private static final long SUBMIT_TIMEOUT_MS = 5000;
 
-  /** All questions of a look are sent within so many milliseconds. */
+  /** The requests of a burst are sent within this time. */
   private static final int BURST_SPAN_MS = 6;
 
-  /** From the end of a task until its job's end is recorded it takes about so long. */
+  /** Approximate time from the end of a job's last task until the end of the job is recorded. */
   private static final int END_RECORDING_MS = 1800;
 
   private final SimCluster cluster;
@@ -28,22 +28,22 @@
   private long burstsUntil;
   private long cancelsUntil;
 
-  /** Part of the jobs that end which are called off around their end. */
+  /** Fraction of the ending jobs that are cancelled around their end. */
   private double cancelAtEndShare;
 
-  /** Part of the jobs that are called off as soon as they are accepted. */
+  /** Fraction of the jobs that are cancelled as soon as they are accepted. */
   double cancelAtAcceptanceShare = 0.1;
 
-  /** Jobs whose last task has ended as users see it: each is called off once at the most. */
+  /** Jobs that were chosen for a cancellation around their end; each is chosen at most once. */
   private final Set<String> cancelledNearEnd = new HashSet<>();
 
-  /** Jobs looked at closely after they were accepted, ended, or were confirmed as cancelled. */
+  /** Number of bursts after a job was accepted, done, or confirmed as cancelled. */
   int burstsAtAcceptance;
 
   int burstsAtCompletion;
   int burstsAtCancellation;
 
-  /** Cancellations sent around the end of a last task. */
+  /** Number of cancellations sent around the end of a job's last task. */
   int cancelsAtEnd;
 
   RequestBursts(SimCluster cluster, long seed) {
@@ -51,18 +51,18 @@
     random = new Random(seed);
   }
 
-  /** Users look closely for so many milliseconds. */
+  /** Users send bursts of requests for the next {@code ms}. */
   void enableFor(long ms) {
     burstsUntil = Math.max(burstsUntil, cluster.clock.now() + ms);
   }
 
-  /** For so many milliseconds that share of the jobs that end is called off around the end. */
+  /** For the next {@code ms}, this share of the ending jobs is cancelled around their end. */
   void cancelAtEnd(double share, long ms) {
     cancelAtEndShare = share;
     cancelsUntil = Math.max(cancelsUntil, cluster.clock.now() + ms);
   }
 
-  /** A user was told something new of a job: that it is accepted, done or cancelled. */
+  /** A user got the first answer that a job is accepted, done or cancelled. */
   void onNewState(JobSpec spec, String state) {
     if (cluster.clock.now() >= burstsUntil) {
       return;
@@ -79,7 +79,7 @@
     queryAllNodes(spec);
   }
 
-  /** Asks at every node, twice, and repeats the submission at one. */
+  /** Queries every node twice, and repeats the submission at one node. */
   void queryAllNodes(JobSpec spec) {
     for (int node = 0; node < cluster.nodeCount(); node++) {
       int target = node;
@@ -100,7 +100,10 @@
     }
   }
 
-  /** A cancellation at one node, questions and a repeated submission at others, in any order. */
+  /**
+   * Sends a cancellation to one node, and queries and a repeated submission to random nodes, in any
+   * order.
+   */
   void cancelNearEnd(int node, JobSpec spec) {
     cancelsAtEnd++;
     schedule(random.nextInt(BURST_SPAN_MS), () -> cancel(node, spec));
@@ -122,7 +125,7 @@
     send(node, "POST", "/submissions", spec, Cbor.bytes(spec.toNode()));
   }
 
-  /** Cancels at a node; without an answer the user goes on as users do. */
+  /** Cancels at a node; if that fails, the user retries like any other user. */
   void cancel(int node, JobSpec spec) {
     cluster.checks.cancelRequested.add(spec.ref());
     send(node, "POST", "/submissions/" + spec.ref() + "/cancel", spec, Cbor.bytes(Cbor.map()));
--- a/src/test/java/dunlincroft/sim/SimCloud.java
+++ b/src/test/java/dunlincroft/sim/SimCloud.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A stand-in for the cloud: rents machines whose workers boot, lists them, takes them back. */
+/** Simulates the cloud: rents machines whose workers boot, lists them, and releases them. */
 final class SimCloud {
   private final SimCluster cluster;
   final TreeMap<String, SimWorker> machines = new TreeMap<>();
@@ -20,28 +20,31 @@
   private int nextHostNumber;
   int maxMachines = 14;
 
-  /** Zones that have no machines to rent. */
+  /** Zones in which no machines can be rented. */
   final Set<String> zonesWithoutCapacity = new HashSet<>();
 
-  /** Machines that stopped on their own. */
+  /** Machines listed as failed. */
   final Set<String> failedHosts = new HashSet<>();
 
-  /** What the list of types says that a machine has. */
+  /** CPUs of a machine according to the list of machine types. */
   double listedCpus = SimCluster.CPUS_PER_MACHINE;
 
-  /** Time until a rental is answered; the machines are there before. */
+  /** Delay of the answer to a rental; the machines exist before it is sent. */
   long answerDelayMs;
 
-  /** Answers with machines to a controller that did not lead any more. */
+  /**
+   * Rentals with machines that were answered when the controller that asked for them was no longer
+   * the leader.
+   */
   int rentalsForDeposedLeaders;
 
   /** Machines released so far. */
   int releasedMachines;
 
-  /** What a rented machine takes to boot; one in ten never comes up while this is long. */
+  /** Boot time of a rented machine. While it exceeds 10 s, one machine in ten never comes up. */
   long bootMs = 2000;
 
-  /** Tasks that their machines' release has cost so far. */
+  /** Tasks that were lost because their machines were released. */
   long tasksLostToRelease;
 
   SimCloud(SimCluster cluster) {
@@ -63,17 +66,17 @@
     return worker;
   }
 
-  /** Machines rented so far. */
+  /** Number of machines rented so far. */
   int rentedMachines() {
     return rentedAt.size();
   }
 
-  /** Machines on which no task ever began, though they were rented. */
+  /** Number of rented machines on which no task was ever started. */
   int unusedMachines() {
     return rentedAt.size() - usedHosts.size();
   }
 
-  /** Machines on which a task began. */
+  /** Machines on which a task was started. */
   final Set<String> usedHosts = new HashSet<>();
 
   void handle(String method, String uri, ObjectNode body, SimNet.Responder responder) {
@@ -124,7 +127,10 @@
     }
   }
 
-  /** A name of a rental begins with that of the controller that gave it. */
+  /**
+   * Counts rentals whose controller was deposed before the answer. The name of a rental begins with
+   * that of the controller that chose it.
+   */
   private void onRentalAnswered(String rentalName, ObjectNode answer) {
     JsonNode leader = cluster.state.dataUnder("d/leader/").get("one");
     boolean leads = leader != null && rentalName.startsWith(leader.path("name").asText() + "-");
--- a/src/test/java/dunlincroft/sim/SimCluster.java
+++ b/src/test/java/dunlincroft/sim/SimCluster.java
@@ -27,9 +27,15 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Three real controllers in a simulated world with seeded faults. */
+/**
+ * Real controllers in a simulated environment: virtual time, network, state service, cloud, workers
+ * and users, with faults drawn from a seeded random generator.
+ */
 final class SimCluster {
-  /** How large a deployment is, and how little the state service takes at a time. */
+  /**
+   * The size of a deployment, and the limits of the state service (value size, operations per
+   * transaction, request rates).
+   */
   record Size(
       int nodes,
       int machines,
@@ -68,14 +74,17 @@
       this(nodes, machines, jobs, valueKb, txnOps, writeRps, reportS, rps, 40, 0);
     }
 
-    /** The same with other limits of the teams, in processors; 0: none. */
+    /** The same size with other CPU limits of the two teams; 0: no limit. */
     Size withTeamLimits(double red, double blue) {
       return new Size(nodes, machines, jobs, valueKb, txnOps, writeRps, reportS, rps, red, blue);
     }
 
     static final Size SMALL = new Size(3, 14, 40, 4, 8, 60);
 
-    /** Five controllers; the log goes round and its pages are written all the time. */
+    /**
+     * Five controllers with small values and transactions: the log wraps around and its pages are
+     * written all the time.
+     */
     static final Size TIGHT = new Size(5, 60, 150, 1, 3, 60);
 
     /** Five controllers and more machines than one round of calls reaches. */
@@ -89,13 +98,16 @@
   private static final String CLOUD = "10.2.0.2:8443";
   private static final String RETRY_AFTER = "retryAfterS";
 
-  /** Probes in a row, a second apart, after which the balancer leaves a node out. */
+  /**
+   * Consecutive failed readiness probes, one second apart, after which the load balancer excludes a
+   * node.
+   */
   private static final int UNREADY_PROBES = 2;
 
-  /** Seconds after that until it resets the node's open connections. */
+  /** Seconds after the exclusion until the load balancer resets the node's open connections. */
   private static final int RESET_S = 5;
 
-  /** So long a user waits for an answer to a question. */
+  /** Timeout of a user's status query. */
   private static final long QUERY_TIMEOUT_MS = 2000;
 
   private static final long SUBMIT_TIMEOUT_MS = 5000;
@@ -121,23 +133,29 @@
   private final List<Node> nodes = new ArrayList<>();
   private final Map<String, JobSpec> specs = new HashMap<>();
 
-  /** Jobs submitted with a mistake: all their tasks fail on every machine. */
+  /** Faulty jobs: all their tasks fail on every machine. */
   final Set<String> failingJobs = new HashSet<>();
 
   private long pollIntervalMs = 5000;
 
-  /** Part of all reports of which a copy comes late, at any controller. */
+  /** Fraction of worker heartbeats of which a delayed copy arrives at a random controller. */
   double heartbeatCopyShare;
 
-  /** The latest that a copy comes. */
+  /** Maximum delay of such a copy. */
   long maxCopyDelayMs = 200_000;
 
-  /** Where a user's connection stands, and the balancer's picture of each node. */
+  /**
+   * The node to which the connection of each job's user leads, by job; and the number of
+   * consecutive failed readiness probes of each node.
+   */
   private final Map<String, Integer> connections = new HashMap<>();
 
   private final int[] failedProbes;
 
-  /** Pairs of nodes between which a filter refuses connections, and nodes that lose packets. */
+  /**
+   * Pairs of nodes between which a packet filter refuses connections, and nodes whose peer
+   * connections lose packets.
+   */
   private final Set<Integer> refusedLinks = new HashSet<>();
 
   private final Set<Integer> lossyNodes = new HashSet<>();
@@ -188,7 +206,7 @@
     clock.after(1000, this::checkEverySecond);
   }
 
-  /** A node for a new connection of a user: one that is ready, if there is any. */
+  /** Chooses a node for a new user connection: a random one that is ready, if there is any. */
   private int chooseReadyNode() {
     int first = random.nextInt(size.nodes);
     for (int i = 0; i < size.nodes; i++) {
@@ -204,7 +222,7 @@
     return random.nextInt(size.nodes);
   }
 
-  /** A settings file such as the platform hands over. */
+  /** A settings file as the platform provides it. */
   static String settingsJson(int node, Size size) {
     StringBuilder others = new StringBuilder();
     for (int i = 0; i < size.nodes; i++) {
@@ -249,7 +267,10 @@
             size.txnOps);
   }
 
-  /** Thousandths of processors of all machines that can be had: no task beyond is seen. */
+  /**
+   * Total capacity of all machines that can be rented, in thousandths of a CPU. A team limit above
+   * this cannot be exceeded.
+   */
   long totalMilliCpus() {
     return Resources.roundedDown((double) CPUS_PER_MACHINE * size.machines, 0, 0).cpu();
   }
@@ -274,7 +295,7 @@
     return Integer.parseInt(name.substring(1));
   }
 
-  /** Jobs submitted so far. */
+  /** Number of jobs submitted so far. */
   int submittedJobs() {
     return specs.size();
   }
@@ -285,7 +306,9 @@
 
   // ---- nodes ----
 
-  /** A controller that can crash and come back with nothing but its settings, or stand still. */
+  /**
+   * A controller process that can crash and restart with nothing but its settings, or be paused.
+   */
   private final class Node {
     private final int index;
     private final Settings nodeSettings;
@@ -293,7 +316,7 @@
     private Controller controller;
     private boolean paused;
 
-    /** Gone in such a way that its connections are not even refused. */
+    /** The process has crashed, and connections to it time out instead of being refused. */
     private boolean unresponsive;
 
     private final List<Runnable> queuedMessages = new ArrayList<>();
@@ -326,7 +349,7 @@
                             if (incarnation == started) {
                               try {
                                 ObjectNode map = data.length == 0 ? Cbor.map() : Cbor.parse(data);
-                                // In the place of the header.
+                                // The simulated network has no headers.
                                 map.put(SimWorker.SENDER, nodeAddress(index));
                                 map.put(SimWorker.SENT_AT, clock.now());
                                 responder.send(status, map.put(RETRY_AFTER, retry));
@@ -352,7 +375,8 @@
     }
 
     /**
-     * A beat over the link: refused by a node that ended, or by a filter; lost only for a while.
+     * Sends a heartbeat to a peer. The connection is refused if the peer has ended or a filter
+     * refuses it; lost packets are retransmitted.
      */
     private void sendHeartbeat(Node other) {
       boolean refused =
@@ -375,7 +399,7 @@
                   () -> other.controller.onPeerHeartbeat(heartbeat)));
     }
 
-    /** What comes to a node that stands still waits in its sockets and timers. */
+    /** Runs an action now. While the node is paused, messages and timers are queued instead. */
     void runOrQueue(int since, List<Runnable> queue, Runnable action) {
       if (incarnation == since) {
         if (paused) {
@@ -395,7 +419,10 @@
       clock.after(ms, () -> resume(since));
     }
 
-    /** Time-outs fire beside their answers: which of them are seen first is a matter of luck. */
+    /**
+     * Resumes after a pause. Expired timers and queued messages are both pending then; which of the
+     * two run first is random.
+     */
     private void resume(int since) {
       paused = false;
       boolean timersFirst = random.nextBoolean();
@@ -408,7 +435,7 @@
       }
     }
 
-    /** Gone without a word: what is sent to it meets no answer and no refusal. */
+    /** Crashes so that requests to this node get neither an answer nor a connection refusal. */
     void crashSilently(long ms) {
       if (controller != null) {
         crash(ms);
@@ -494,7 +521,7 @@
         8);
   }
 
-  /** Operators put a document. */
+  /** Writes a document as an operator does. */
   void putDocument(String name, String text) {
     try {
       documentStore().put(name, text, "test", 0);
@@ -503,7 +530,7 @@
     }
   }
 
-  /** Operators put a record that must not be there yet. */
+  /** Creates a record as an operator does; the key must not exist yet. */
   void createRecord(String key, JsonNode data) {
     try {
       documentStore().create(key, key, data);
@@ -514,7 +541,10 @@
 
   // ---- users ----
 
-  /** Submits, follows and perhaps cancels a job, as users do. */
+  /**
+   * Submits a job, polls its state and, if {@code cancelAfterMs} is positive, cancels it after that
+   * time.
+   */
   void submitAndFollow(JobSpec spec, long cancelAfterMs) {
     specs.put(spec.ref(), spec);
     checks.onSubmission(spec);
@@ -524,26 +554,26 @@
     }
   }
 
-  /** A job that users submit at nodes of their own choice. */
+  /** Polls a job that the test itself submits at nodes of its choice. */
   void followWithoutSubmitting(JobSpec spec) {
     specs.put(spec.ref(), spec);
     checks.onSubmission(spec);
     clock.after(5000, () -> poll(spec));
   }
 
-  /** A user's connection stands at a node already. */
+  /** Lets the user of a job start with a connection to this node. */
   void pinConnection(String ref, int node) {
     connections.put(ref, node);
   }
 
-  /** Takes the status of an answer, and its Retry-After in seconds. */
+  /** Receives the status of an answer and its Retry-After in seconds. */
   private interface AnswerHandler {
     void onAnswer(int status, int retryAfterS);
   }
 
   private void request(String method, String path, JobSpec spec, byte[] body, AnswerHandler then) {
     long sentAt = clock.now();
-    // A connection stays where it is until it fails or is reset.
+    // A connection stays on its node until a request times out or the balancer resets it.
     int node = connections.computeIfAbsent(spec.ref(), ref -> chooseReadyNode());
     net.call(
         "user",
@@ -562,7 +592,7 @@
         });
   }
 
-  /** A user got an answer to a request sent at {@code sentAt}: it is checked. */
+  /** Checks the answer that a user got to a request sent at {@code sentAt}. */
   JsonNode checkAnswer(JobSpec spec, Env.Reply reply, long sentAt) {
     try {
       JsonNode answer = reply.body().length == 0 ? Cbor.map() : Cbor.parse(reply.body());
@@ -621,10 +651,13 @@
 
   private static final long[] PAUSES_MS = {1000, 5000, 15_000, 40_000};
 
-  /** Submits what a guest team brings: set by the test, as it makes the jobs. */
+  /**
+   * Submits a burst of jobs of the team without a guaranteed share. Set by the test that generates
+   * the jobs.
+   */
   Runnable submitGuestJobs = () -> {};
 
-  /** The node that holds the first leased shard. */
+  /** The node that owns the first leased shard. */
   private Node owner() {
     JsonNode leases = state.dataUnder("d/leases/").get("one");
     JsonNode shard =
@@ -634,53 +667,58 @@
     return nodes.get(shard == null ? 0 : nodeIndex(shard.path("holder").asText()));
   }
 
-  /** Cuts the holder off the state service. */
+  /** Cuts the owner off the state service. */
   void cutOwnerFromState(long ms) {
     net.cut(nodeAddress(owner().index), STATE, ms);
   }
 
-  /** The cloud refuses a node. */
+  /** The cloud answers one node with 503. */
   void refuseCloudToNode(int node, long ms) {
     net.refuse(nodeAddress(node), CLOUD, ms);
   }
 
-  /** The node that the leader's record names, or -1. */
+  /** The node that the leader record names; -1 if there is no record. */
   int leader() {
     JsonNode record = state.dataUnder("d/leader/").get("one");
     return record == null ? -1 : nodeIndex(record.path("name").asText());
   }
 
-  /** The state service refuses the holder alone. */
+  /** The state service answers the owner, and no other node, with 503. */
   void refuseStateToOwner(long ms) {
     net.refuse(nodeAddress(owner().index), STATE, ms);
   }
 
-  /** Part of all transactions get no answer, and are carried out after newer ones. */
+  /**
+   * A fraction of all transactions get no answer and are executed late, possibly after newer ones.
+   */
   void delayWrites(double share, long ms) {
     net.lateWriteShare = share;
     clock.after(ms, () -> net.lateWriteShare = 0);
   }
 
-  /** Part of the answers to calls of these kinds are lost; the calls are carried out at once. */
+  /**
+   * A fraction of the answers to calls of these kinds are lost; the calls themselves are executed
+   * at once.
+   */
   void loseAnswers(Set<LostAnswers.Kind> kinds, double share, long ms) {
     lostAnswers.lose(kinds, share);
     clock.after(ms, () -> lostAnswers.lose(Set.of(), 0));
   }
 
-  /** Part of all reports are copied, and the copies come late. */
+  /** A fraction of all worker heartbeats are duplicated, and the duplicates arrive late. */
   void duplicateHeartbeats(double share, long ms) {
     heartbeatCopyShare = share;
     clock.after(ms, () -> heartbeatCopyShare = 0);
   }
 
-  /** Part of all direct commands are held up on their way, and carried out seconds later. */
+  /** A fraction of all direct commands are delayed in transit and carried out seconds later. */
   void delayCommands(double share, long ms) {
     Random commandRandom = new Random(clock.now());
     net.delayedCommands.commands = (from, to, body) -> commandRandom.nextDouble() < share;
     clock.after(ms, () -> net.delayedCommands.commands = (from, to, body) -> false);
   }
 
-  /** Jobs that run and have long to go: services, and those whose tasks are long. */
+  /** Running jobs that are far from their end: services, and jobs with long tasks. */
   List<JobSpec> longRunningJobs() {
     return specs.values().stream()
         .filter(spec -> spec.isService() || spec.estimatedRunS() > 20)
@@ -690,7 +728,7 @@
         .toList();
   }
 
-  /** Users call off jobs that run and have long to go, and up to eight of their machines hang. */
+  /** Cancels up to {@code count} long-running jobs, and hangs up to eight of their machines. */
   List<SimWorker> cancelRunningJobs(int count, long hangMs) {
     List<JobSpec> jobs = longRunningJobs().stream().limit(count).toList();
     List<SimWorker> machines =
@@ -709,19 +747,19 @@
     net.cut(nodeAddress(node), STATE, ms);
   }
 
-  /** The holder stands still, and goes on with all that lay in its sockets. */
+  /** Pauses the owner; it resumes with all messages that were queued in its sockets. */
   void pauseOwner(long ms) {
     owner().pause(ms);
   }
 
-  /** No controller reaches a machine. */
+  /** Cuts a machine off all controllers. */
   void cutWorkerFromControllers(SimWorker worker, long ms) {
     for (int i = 0; i < size.nodes; i++) {
       net.cut(nodeAddress(i), worker.address, ms);
     }
   }
 
-  /** Only the holder reaches a machine. */
+  /** Cuts a machine off all controllers but the owner. */
   void cutWorkerFromNonOwners(SimWorker worker, long ms) {
     int owner = owner().index;
     for (int i = 0; i < size.nodes; i++) {
@@ -735,17 +773,19 @@
     nodes.forEach(node -> node.pause(ms));
   }
 
-  /** The holder is gone, without a word. */
+  /** The owner crashes, and connections to it time out instead of being refused. */
   void crashOwnerSilently(long ms) {
     owner().crashSilently(ms);
   }
 
-  /** Name of the node that holds the first leased shard, by its record. */
+  /** Name of the node that owns the first leased shard according to its record. */
   String ownerName() {
     return "n" + owner().index;
   }
 
-  /** The holder of the shard that the leases name last ends, and is back after that long. */
+  /**
+   * Crashes the owner of the shard that the lease record lists last; it restarts after {@code ms}.
+   */
   void crashLastOwner(long ms) {
     JsonNode leases = state.dataUnder("d/leases/").get("one");
     if (leases != null) {
@@ -755,7 +795,9 @@
     }
   }
 
-  /** The life of the process that holds the first leased shard, by its record. */
+  /**
+   * Name and incarnation of the process that owns the first leased shard according to its record.
+   */
   String ownerIncarnation() {
     JsonNode leases = state.dataUnder("d/leases/").get("one");
     JsonNode shard = state.dataUnder("d/shards/").get(leases.path("holders").path(0).asText());
@@ -766,7 +808,7 @@
     return ZONES.get(owner().index % 3);
   }
 
-  /** No controller reaches the cloud. */
+  /** Cuts all controllers off the cloud. */
   void cutCloud(long ms) {
     for (int i = 0; i < size.nodes; i++) {
       net.cut(nodeAddress(i), CLOUD, ms);
@@ -789,12 +831,15 @@
     nodes.get(node).crash(ms);
   }
 
-  /** What a node answers to the balancer's probe; false while it is gone. */
+  /** The node's answer to the load balancer's readiness probe; false while it is down. */
   boolean isReady(int node) {
     return nodes.get(node).controller != null && nodes.get(node).controller.isReady();
   }
 
-  /** The controller there that answered most workers of late; the holder if none did. */
+  /**
+   * The running controller that renewed the most worker leases within the last quarter of a lease;
+   * the owner if none did.
+   */
   int busiestNode() {
     int[] answeredWorkers = new int[size.nodes];
     for (SimWorker worker : cloud.machines.values()) {
@@ -813,7 +858,10 @@
     return busiest;
   }
 
-  /** The busiest controller ends so many times, one after the other, and is back each time. */
+  /**
+   * Crashes the then busiest controller several times, one crash every {@code intervalMs}; each
+   * restarts after {@code downtime}.
+   */
   void crashBusiestRepeatedly(int times, long intervalMs, long downtime) {
     for (int i = 0; i < times; i++) {
       clock.after(i * intervalMs, () -> crash(busiestNode(), downtime));
@@ -828,13 +876,16 @@
     nodes.get(node).pause(ms);
   }
 
-  /** Cuts the holder off its machines. */
+  /** Cuts the owner off all machines. */
   void cutOwnerFromWorkers(long ms) {
     String address = nodeAddress(owner().index);
     cloud.machines.values().forEach(worker -> net.cut(address, worker.address, ms));
   }
 
-  /** Cuts the holder off everything but its machines, and the cloud and users. */
+  /**
+   * Cuts the owner off the state service and the other controllers. It still reaches machines, the
+   * cloud and users.
+   */
   void cutOwnerFromControllers(long ms) {
     int index = owner().index;
     net.cut(nodeAddress(index), STATE, ms);
@@ -845,7 +896,7 @@
     }
   }
 
-  /** Cuts a zone, its controllers inside, off everything else. */
+  /** Cuts a zone with the controllers and machines in it off everything else. */
   void cutZone(String zone, long ms) {
     List<String> inside = new ArrayList<>();
     List<String> outside = new ArrayList<>(List.of(STATE, CLOUD));
@@ -859,7 +910,7 @@
     zoneCutsEndAt.put(zone, clock.now() + ms);
   }
 
-  /** The cloud takes cheap machines back without a notice. */
+  /** The cloud preempts spot machines without a warning. */
   void preemptSpotMachines(int number) {
     List<SimWorker> spotMachines =
         cloud.machines.values().stream().filter(worker -> worker.spot).limit(number).toList();
@@ -869,7 +920,7 @@
     }
   }
 
-  /** A machine that is rented in a zone that is cut is cut with it. */
+  /** Cuts a machine that was rented in a partitioned zone off the controllers outside of it. */
   void onMachineRented(SimWorker worker) {
     long ms = zoneCutsEndAt.getOrDefault(worker.zone, 0L) - clock.now();
     if (ms > 0) {
@@ -879,7 +930,7 @@
     }
   }
 
-  /** A filter refuses all connections between controllers, and ends those that stand. */
+  /** A packet filter refuses all connections between controllers, and ends existing ones. */
   void refusePeerConnections(long ms) {
     for (int a = 0; a < size.nodes; a++) {
       for (int b = 0; b < a; b++) {
@@ -889,7 +940,7 @@
     clock.after(ms, refusedLinks::clear);
   }
 
-  /** All links of a controller lose packets. */
+  /** All connections between a controller and its peers lose packets. */
   void setPacketLoss(int node, double share) {
     lossyNodes.add(node);
     linkLoss = share;
@@ -900,12 +951,12 @@
     clock.after(ms, () -> net.setDelayFactor(STATE, 1));
   }
 
-  /** How long a process that ended is away: seconds, or a fraction of one. */
+  /** Random downtime of a crashed process: 2 to 10 s, or a fraction of a second. */
   private long downtimeMs() {
     return random.nextBoolean() ? 100 + random.nextInt(300) : 2000 + random.nextInt(8000);
   }
 
-  /** One fault of a random kind, now. */
+  /** Injects one fault of a random kind now. */
   void injectRandomFault() {
     List<SimWorker> workers = List.copyOf(cloud.machines.values());
     SimWorker worker = workers.isEmpty() ? null : workers.get(random.nextInt(workers.size()));
--- a/src/test/java/dunlincroft/sim/SimNet.java
+++ b/src/test/java/dunlincroft/sim/SimNet.java
@@ -18,9 +18,9 @@
 import java.util.function.IntPredicate;
 import java.util.function.ToLongBiFunction;
 
-/** A stand-in for the network: delays, losses, refusals, cuts that hold packets back. */
+/** Simulates the network: delays, losses, refusals, and partitions that hold messages back. */
 final class SimNet {
-  /** Takes the one answer of a request. */
+  /** Sends the one answer to a request. */
   interface Responder {
     void send(int status, ObjectNode body);
   }
@@ -30,7 +30,10 @@
     void handle(String method, String path, ObjectNode body, Responder responder);
   }
 
-  /** Told of each transaction as it is carried out, and what the answer would be. */
+  /**
+   * Notified of each transaction as it is executed, with the status that the state service
+   * returned.
+   */
   interface TransactionListener {
     void onTransaction(String from, ObjectNode body, int status);
   }
@@ -45,36 +48,50 @@
   private final Map<String, Long> streamDeliveryTimes = new HashMap<>();
   private final Map<String, Double> delayFactors = new HashMap<>();
 
-  /** Senders that a server refuses, and what of theirs waits there until it no longer does. */
+  /**
+   * Pairs of sender and server for which the server answers 503, with the requests and answers that
+   * wait until it no longer does.
+   */
   private final Map<String, List<Runnable>> refusedRequests = new HashMap<>();
 
+  /** Fraction of messages that are "lost": they arrive 3 to 63 s late. */
   double loss;
 
-  /** Tells whether the answer to a call that is about to be carried out will be lost. */
+  /**
+   * Decides for a call that is about to be executed whether its answer, given the status, is lost.
+   */
   BiFunction<Call, ObjectNode, IntPredicate> losesAnswer = (call, body) -> status -> false;
 
-  /** Part of transactions that get no answer and are carried out 2 to 12 s later. */
+  /** Fraction of transactions that get no answer and are executed 2 to 12 s later. */
   double lateWriteShare;
 
-  /** How long the carrying out of a transaction is held back, unanswered; 0: not at all. */
+  /**
+   * Delay before a transaction is executed, without an answer; 0: executed at once and answered.
+   */
   ToLongBiFunction<Call, ObjectNode> writeDelayMs = (call, body) -> 0;
 
-  /** Transactions sent by each, and carried out after a newer one of the same sender. */
+  /**
+   * Number of transactions that each sender has sent, and the number of the newest executed one.
+   * {@code executedAfterNewer} counts those executed after a newer one of the same sender.
+   */
   private final Map<String, Long> transactionsSent = new HashMap<>();
 
   private final Map<String, Long> lastExecuted = new HashMap<>();
   int executedAfterNewer;
 
-  /** Part of direct commands that are held up on their way, 2 to 16 s, and then carried out. */
+  /** Fraction of direct commands that are delayed in transit by 2 to 16 s and then carried out. */
   double delayedCommandShare;
 
-  /** Direct commands that arrived after their sender had given up. */
+  /** Direct commands that arrived after their sender's timeout. */
   int commandsAfterTimeout;
 
-  /** Sees the path and body of each request as it is sent: for tests that meet a moment. */
+  /**
+   * Called with the path and body of each request as it is sent, for tests that inject a fault at
+   * that moment.
+   */
   BiConsumer<String, ObjectNode> onSent = (path, body) -> {};
 
-  /** Commands and releases that are held up on their way. */
+  /** Commands and releases that are delayed in transit. */
   final DelayedCommands delayedCommands;
 
   SimNet(VirtualClock clock, Random random) {
@@ -87,7 +104,7 @@
     servers.put(address, server);
   }
 
-  /** Who answers at an address, or null. */
+  /** The server at an address, or null. */
   Server server(String address) {
     return servers.get(address);
   }
@@ -96,7 +113,7 @@
     servers.remove(address);
   }
 
-  /** Cuts two addresses; what is sent meanwhile is delivered, late, when the cut ends. */
+  /** Partitions two addresses. Messages sent meanwhile are delivered when the partition ends. */
   void cut(String a, String b, long ms) {
     String pair = pair(a, b);
     if (cutLinks.add(pair)) {
@@ -116,7 +133,10 @@
     return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
   }
 
-  /** A server answers all calls of one sender with 503, and its watches wait. */
+  /**
+   * A server answers all calls of one sender with 503; open watches get their answer when this
+   * ends.
+   */
   void refuse(String from, String to, long ms) {
     String pair = from + ">" + to;
     if (refusedRequests.putIfAbsent(pair, new ArrayList<>()) == null) {
@@ -124,7 +144,7 @@
     }
   }
 
-  /** Runs something now, or once a server no longer refuses a sender. */
+  /** Runs an action now, or once the server no longer refuses the sender. */
   private void runWhenAccepted(String from, String to, Runnable action) {
     List<Runnable> waiting = refusedRequests.get(from + ">" + to);
     if (waiting == null) {
@@ -138,7 +158,9 @@
     return call.path().startsWith("/changes") && !call.path().endsWith("blockMs=0");
   }
 
-  /** Carries a transaction out; whether that is late is noted. */
+  /**
+   * Executes a transaction, and counts it if a newer one of the same sender was executed before.
+   */
   private void executeTransaction(String from, long number, Runnable action) {
     if (number < lastExecuted.getOrDefault(from, 0L)) {
       executedAfterNewer++;
@@ -168,14 +190,15 @@
     }
     onSent.accept(call.path(), parsed);
     if (call.path().equals("/commands")) {
-      // For the log of orders.
+      // For the order log.
       parsed.put(SimWorker.SENDER, from).put(SimWorker.SENT_AT, calledAt);
     }
     boolean delayed =
         delayedCommandShare > 0
             && call.path().equals("/commands")
             && random.nextDouble() < delayedCommandShare;
-    // What travels is either lost on the way there, or on the way back, or arrives.
+    // Runs when the request arrives; request and answer are each subject to delay, loss and
+    // partitions.
     Runnable arrive =
         () -> {
           Server server = servers.get(to);
@@ -240,7 +263,10 @@
     }
   }
 
-  /** One direction of a connection: what is lost is sent again, and nothing overtakes. */
+  /**
+   * Delivers a message over one direction of a connection: lost packets are retransmitted, and the
+   * order is kept.
+   */
   void sendInOrder(String from, String to, double lossShare, Runnable arrive) {
     long delay = 1 + random.nextInt(random.nextInt(50) == 0 ? 200 : 6);
     while (random.nextDouble() < lossShare) {
@@ -256,7 +282,7 @@
     }
   }
 
-  /** What goes to or comes from an address takes so many times as long. */
+  /** Multiplies the delay of all messages to and from an address. */
   void setDelayFactor(String address, double delayFactor) {
     delayFactors.put(address, delayFactor);
   }
@@ -271,7 +297,7 @@
       long delay = 1 + random.nextInt(random.nextInt(50) == 0 ? 400 : 6);
       clock.after((long) (slowest * delay), arrive);
     } else {
-      // "Lost" means late: it may arrive long after its sender gave up.
+      // A "lost" message arrives late, usually long after its sender's timeout.
       clock.after(3000 + random.nextInt(60_000), arrive);
     }
   }
--- a/src/test/java/dunlincroft/sim/SimState.java
+++ b/src/test/java/dunlincroft/sim/SimState.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A stand-in for the state service, by its protocol. */
+/** Simulates the state service according to its protocol. */
 final class SimState {
   private record Item(JsonNode data, long revision, long lease) {}
 
@@ -20,7 +20,10 @@
 
   private record Watch(long since, String prefix, SimNet.Responder responder, boolean[] answered) {}
 
-  /** Items of a listing: few, so that a reading goes on while keys change. */
+  /**
+   * Maximum number of items in one page of a listing: few, so that keys change while a reader pages
+   * through them.
+   */
   private static final int LISTING_PAGE_SIZE = 9;
 
   private final VirtualClock clock;
@@ -33,27 +36,33 @@
   private long nextLeaseId = 1;
   boolean down;
 
-  /** Puts of pages of jobs so far. */
+  /** Number of job pages written so far. */
   int pagesWritten;
 
-  /** Keys that were there once and were removed. */
+  /** Keys that existed and were removed. */
   final Set<String> removedKeys = new HashSet<>();
 
-  /** Requests so far. */
+  /** Number of requests so far. */
   int requestCount;
 
-  /** For the test that shows that the checks can fail: transactions apply whatever they guard. */
+  /**
+   * Deliberate fault, for the test that the checks can fail: transactions are applied although
+   * their guards fail.
+   */
   boolean ignoreGuards;
 
-  /** For tests that show that the checks can fail: read barriers bring nothing. */
+  /** Deliberate fault, for tests that the checks can fail: read barriers return no changes. */
   boolean emptyBarriers;
 
-  /** Ends of jobs that a cancellation came before, and cancellations that came after the end. */
+  /**
+   * Rejected transactions that were to record the end of a job (a cancellation came first), and
+   * rejected cancellations (the end came first).
+   */
   int rejectedEnds;
 
   int rejectedCancels;
 
-  /** Keeps only so many changes, so that slow readers see 410. */
+  /** Number of changes kept; readers that are further behind get 410. */
   int maxChanges = 10_000;
 
   SimState(VirtualClock clock) {
@@ -83,7 +92,7 @@
         });
   }
 
-  /** The data of all keys that begin so, by the rest of their names. */
+  /** The data of all keys with a prefix, by the rest of the key. */
   Map<String, JsonNode> dataUnder(String prefix) {
     Map<String, JsonNode> found = new TreeMap<>();
     items
--- a/src/test/java/dunlincroft/sim/SimWorker.java
+++ b/src/test/java/dunlincroft/sim/SimWorker.java
@@ -13,9 +13,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** A stand-in for a worker, by the protocol: fence, tenure, lease, orders, reports. */
+/**
+ * Simulates a worker according to the protocol: fence token, session, lease, orders, and heartbeats
+ * that carry a report of its state and tasks.
+ */
 final class SimWorker {
-  /** A task on the machine. */
+  /** An attempt of a task on this machine. */
   static final class Task {
     final JobSpec spec;
     final String name;
@@ -36,12 +39,12 @@
     }
   }
 
-  /** What the simulation adds to orders: their sender, and when they left. */
+  /** Fields that the simulation adds to orders: their sender, and when they were sent. */
   static final String SENDER = "simFrom";
 
   static final String SENT_AT = "simLeftAt";
 
-  /** So long a worker waits for the answer to a report. */
+  /** Timeout of a worker heartbeat. */
   private static final long ANSWER_TIMEOUT_MS = 4000;
 
   private final SimCluster cluster;
@@ -57,16 +60,16 @@
   boolean hung;
   boolean faulty;
 
-  /** Its reports arrive; answers and commands don't reach it. */
+  /** Its heartbeats arrive; answers and commands don't reach it. */
   private boolean inboundLost;
 
-  /** It can open connections to no controller; direct commands reach it. */
+  /** It cannot open connections to any controller; direct commands reach it. */
   private boolean outboundBlocked;
 
-  /** Planted: its tasks outlive its lease. */
+  /** Deliberate fault, for tests of the checks: its tasks go on when its lease expires. */
   boolean keepsTasksAfterLease;
 
-  /** Moments at which reports left whose answers it did not get, while it is deaf. */
+  /** Send times of heartbeats whose answers were lost while {@link #inboundLost} was set. */
   final List<Long> unansweredHeartbeatTimes = new ArrayList<>();
 
   private long session = 1;
@@ -77,15 +80,18 @@
   private boolean awaitingAnswer;
   private long heartbeatCount;
 
-  /** The node whose answer last renewed the lease, and when. */
+  /** The node whose answer last renewed the lease, and when; -1: none yet. */
   int renewedBy = -1;
 
   long renewedAt = -1;
 
-  /** The node to which the first report was sent; -1: none yet. */
+  /** The node to which the first heartbeat was sent; -1: none yet. */
   int firstContactedNode = -1;
 
-  /** Copies of reports that came after newer ones, and those of them of an earlier session. */
+  /**
+   * Copies of heartbeats delivered after a newer heartbeat was sent, and those of them from an
+   * earlier session.
+   */
   int staleCopies;
 
   int staleCopiesOfEarlierSessions;
@@ -102,7 +108,7 @@
     this.targetNode = cluster.random.nextInt(cluster.nodeCount());
   }
 
-  /** The machine is up. */
+  /** Boots the machine, or starts the worker process again after a restart. */
   void start() {
     if (!terminated && !isUp) {
       isUp = true;
@@ -122,7 +128,10 @@
     cluster.net.close(address);
   }
 
-  /** Stops answering and acting, with all that is on it, and goes on later. */
+  /**
+   * Hangs the machine with all its tasks for {@code ms}; what came meanwhile is processed
+   * afterwards.
+   */
   void hang(long ms) {
     hung = true;
     cluster.clock.after(
@@ -148,7 +157,10 @@
     cluster.clock.after(ms, () -> outboundBlocked = false);
   }
 
-  /** Ends and is back under its old name, with nothing of what it knew. */
+  /**
+   * Ends the worker process and starts it under the same name after {@code ms}, without its former
+   * state.
+   */
   void restart(long ms) {
     if (terminated || !isUp) {
       return;
@@ -200,12 +212,12 @@
     cluster.clock.after(1000 + cluster.random.nextInt(800), this::heartbeatRegularly);
   }
 
-  /** The session: it moves on each time the lease ends. */
+  /** The session number; it is incremented each time the lease expires. */
   long session() {
     return session;
   }
 
-  /** The highest token that it has seen. */
+  /** The highest fence token that it has seen. */
   long fenceToken() {
     return fenceToken;
   }
@@ -274,7 +286,7 @@
         reply -> onAnswer(heartbeatNumber, sentAt, sentSession, to, reply));
   }
 
-  /** Whether something newer than such a report has left since. */
+  /** Whether a newer heartbeat than the one with this session and counter has been sent since. */
   boolean isOlder(long thatSession, long thatCounter) {
     return session != thatSession || counter > thatCounter;
   }
@@ -348,12 +360,12 @@
     return taskName + "#" + attempt;
   }
 
-  /** Whether it is up, hears what it is told, and runs what it is given. */
+  /** Whether it is up, receives messages, and can run tasks. */
   boolean isAvailable() {
     return isUp && !terminated && !hung && !inboundLost && !faulty;
   }
 
-  /** What its tasks leave free. */
+  /** The capacity that its tasks leave free. */
   Resources freeCapacity() {
     return capacity.minus(usedCapacity());
   }
@@ -405,7 +417,7 @@
             tasks.remove(key(taskName, attempt));
           }
         }
-        default -> throw new IllegalStateException("verb " + order);
+        default -> throw new IllegalStateException("unknown verb in order " + order);
       }
     }
   }
@@ -455,7 +467,7 @@
     }
   }
 
-  /** A class of jobs whose tasks end far apart. */
+  /** A class of jobs whose tasks have widely differing run times. */
   static final String STAGGERED_CLASS = "apart";
 
   private static long runMs(Task task) {
--- a/src/test/java/dunlincroft/sim/StartLog.java
+++ b/src/test/java/dunlincroft/sim/StartLog.java
@@ -12,8 +12,9 @@
 import java.util.Set;
 
 /**
- * Every start that is recorded, as the transactions on the logs show: no task starts again that is
- * recorded as done, and no try is given to two starts, whatever became of its controller.
+ * Records every start that transactions write to the logs of the shards. No task may be started
+ * again once it is recorded as done, and no attempt number may be used for two starts, also when
+ * the controller that wrote them has crashed.
  */
 final class StartLog {
   private static final String LOGS = Wire.key(Replica.LOGS, "");
@@ -22,17 +23,17 @@
   private final Set<String> doneTasks = new HashSet<>();
   private final Map<Long, String> startsByAttempt = new HashMap<>();
 
-  /** Starts of tasks that an earlier entry names as done. */
+  /** Starts of tasks that an earlier entry records as done. */
   final List<String> startsOfDoneTasks = new ArrayList<>();
 
-  /** Tries that two entries give to different jobs or machines. */
+  /** Attempt numbers that two entries use for different jobs or machines. */
   final List<String> reusedAttempts = new ArrayList<>();
 
   StartLog(SimCluster cluster) {
     cluster.net.transactionListeners.add(this::onTransaction);
   }
 
-  /** Tasks recorded as done so far. */
+  /** Number of tasks recorded as done so far. */
   int doneCount() {
     return doneTasks.size();
   }
--- a/src/test/java/dunlincroft/sim/StartsAfterCancellation.java
+++ b/src/test/java/dunlincroft/sim/StartsAfterCancellation.java
@@ -4,18 +4,18 @@
 import dunlincroft.sim.SimWorker.Task;
 
 /**
- * Starts that took effect after a user was told that the job is cancelled. Those whose order was in
- * flight at that moment are allowed for {@code cancel_s}; an order that left later came from a
- * controller that had not read the cancellation yet, which it must have soon.
+ * Starts that took effect after the cancellation of their job was confirmed to its user. Starts
+ * whose order was in flight at that moment are allowed for {@code cancel_s}. An order that was sent
+ * later came from a controller that had not yet read the cancellation, which it must do soon.
  */
 final class StartsAfterCancellation {
-  /** The rule that a start breaks whose sender must have known better. */
+  /** The rule that a start violates if its sender must already have read the cancellation. */
   static final String RULE = "started_cancelled";
 
-  /** Starts whose order was on its way when the user was told. */
+  /** Starts whose order was in flight when the user got the confirmation. */
   int inFlight;
 
-  /** Starts whose order left after that, and the latest that one did. */
+  /** Starts whose order was sent after the confirmation, and the longest time between the two. */
   int sentAfterConfirmation;
 
   long maxDelayMs;
@@ -39,10 +39,11 @@
     }
     sentAfterConfirmation++;
     maxDelayMs = Math.max(maxDelayMs, delayMs);
-    // A controller starts nothing whose picture of the records is older than this.
+    // A controller starts no tasks while its view of the records is older than this.
     if (delayMs > Constants.MAX_STALENESS_MS) {
       cluster.checks.recordViolation(
-          RULE, task.name + " on " + worker.host + ": ordered " + delayMs + " ms after the word");
+          RULE,
+          task.name + " on " + worker.host + ": ordered " + delayMs + " ms after the confirmation");
     }
   }
 }
--- a/src/test/java/dunlincroft/sim/StarvationCheck.java
+++ b/src/test/java/dunlincroft/sim/StarvationCheck.java
@@ -13,24 +13,24 @@
 import java.util.TreeMap;
 
 /**
- * Once the troubles are over no job is left waiting for 90 s while a machine that fits has room and
- * its team is under its limit. It looks at the machines themselves: what controllers believe of
- * them is no excuse.
+ * Checks that, once all faults have ended, no job waits for 90 s while a suitable machine has free
+ * capacity and the job's team is under its limit. It inspects the machines themselves, whatever
+ * state the controllers assume them to be in.
  */
 final class StarvationCheck {
-  /** No job may wait for longer beside room for it. */
+  /** Maximum time for which a job may wait while there is free capacity for it. */
   static final long MAX_WAIT_MS = 90_000;
 
-  /** A machine that is just up, or just well again, is not counted for so long. */
+  /** A machine that has just booted or recovered is not counted for this time. */
   private static final long SETTLE_MS = 10_000;
 
   private final SimCluster cluster;
   private final InvariantChecks checks;
 
-  /** Since when each machine has been able to take work without a break. */
+  /** Since when each machine has been continuously available. */
   private final Map<SimWorker, Long> readySince = new HashMap<>();
 
-  /** Since when each job has waited beside room for it. */
+  /** Since when each job has waited although there was free capacity for it. */
   private final Map<String, Long> waitingSince = new HashMap<>();
 
   private final Set<String> reportedJobs = new HashSet<>();
@@ -43,7 +43,7 @@
           2,
           SimCluster.ZONES);
 
-  /** A machine that can take work, what is free of it, and whether it has services. */
+  /** An available machine, its free capacity, and whether it runs services. */
   private record Machine(SimWorker worker, Resources free, boolean hasServices) {}
 
   StarvationCheck(SimCluster cluster, InvariantChecks checks) {
@@ -51,12 +51,12 @@
     this.checks = checks;
   }
 
-  /** A task of a job came to a machine. */
+  /** A task of a job was placed on a machine. */
   void onTaskPlaced(String ref) {
     waitingSince.remove(ref);
   }
 
-  /** Looks at all jobs; called once a second when the troubles are over. */
+  /** Checks all jobs; called once a second after the faults have ended. */
   void check() {
     long now = cluster.clock.now();
     List<Machine> machines = readyMachines(now);
@@ -79,13 +79,19 @@
   }
 
   private void report(String ref, long since, List<Machine> machines) {
-    String detail = ref + " since " + since + " beside room for it; " + diagnosis(ref, machines);
+    String detail =
+        ref
+            + " since "
+            + since
+            + " although there is free capacity for it; "
+            + diagnosis(ref, machines);
     checks.starvedJobs.add(detail);
     checks.recordViolation("left_waiting", detail);
   }
 
   /**
-   * What its shard lacks: a part of its team's limit, a machine of its own with room, or neither.
+   * Describes what the job's shard lacks: a share of the team's limit, a suitable machine of its
+   * own with free capacity, or neither.
    */
   private String diagnosis(String ref, List<Machine> machines) {
     JobSpec spec = cluster.specOf(ref);
@@ -109,7 +115,7 @@
         + fitting;
   }
 
-  /** What each shard has of a team's limit and its jobs' tasks do not take. */
+  /** Each shard's share of a team's limit that the tasks of its jobs do not use. */
   private Map<String, Long> unusedShares(String team) {
     Map<String, Long> unused = new HashMap<>();
     JsonNode shares = cluster.state.dataUnder("d/shares/").get(team);
@@ -158,7 +164,7 @@
         .toList();
   }
 
-  /** Whether a job that nobody called off has a task that is neither done nor on a machine. */
+  /** Whether a job that nobody cancelled has a task that is neither done nor on a machine. */
   private boolean isWaiting(String ref) {
     if (checks.cancelRequested.contains(ref)
         || checks.finalStates.containsKey(ref)
@@ -197,7 +203,7 @@
         && spec.resources().fitsInto(machine.free.minus(reservedCapacity(spec, machine)));
   }
 
-  /** What the operators keep free of a machine. */
+  /** The capacity of a machine that the operators' policy keeps free. */
   private Resources reservedCapacity(JobSpec spec, Machine machine) {
     String zone = machine.worker.zone;
     double reservedFraction = 1 - cluster.policy.loadBound(machineType, zone, machine.worker.spot);
--- a/src/test/java/dunlincroft/sim/UnusualRequests.java
+++ b/src/test/java/dunlincroft/sim/UnusualRequests.java
@@ -12,14 +12,14 @@
 import java.util.Random;
 
 /**
- * Users that send what can never run or lacks a field, repeat submissions of unfinished jobs, and
- * cancel jobs that are done.
+ * Users that submit jobs which can never run or lack a field, repeat submissions of unfinished
+ * jobs, and cancel jobs that are done.
  */
 final class UnusualRequests {
   private static final long SUBMIT_TIMEOUT_MS = 5000;
   private static final int MAX_INTERVAL_MS = 700;
 
-  /** Fields that no submission may lack. */
+  /** Required fields of a submission. */
   static final List<String> REQUIRED =
       List.of(
           "ref",
@@ -59,7 +59,7 @@
       this.change = change;
     }
 
-    /** Whether this can be told without the machine types. */
+    /** Whether this can be decided without the machine types. */
     boolean dependsOnlyOnTeam() {
       return this == UNKNOWN_TEAM || this == TASK_OVER_LIMIT || this == SERVICE_OVER_LIMIT;
     }
@@ -70,12 +70,12 @@
   private long activeUntil;
   private int sentCount;
 
-  /** Answers to jobs that can never run, and to those that lack a field, by status. */
+  /** Number of answers by status: to jobs that can never run, and to jobs that lack a field. */
   final Map<Integer, Integer> infeasible = new HashMap<>();
 
   final Map<Integer, Integer> missingField = new HashMap<>();
 
-  /** Jobs that were done when they were cancelled, and submissions repeated of open jobs. */
+  /** Number of cancellations of done jobs, and of repeated submissions of unfinished jobs. */
   int cancelsOfDone;
 
   int repeatedSubmissions;
@@ -85,7 +85,7 @@
     random = new Random(seed);
   }
 
-  /** Such requests come for so many milliseconds. */
+  /** Sends such requests for the next {@code ms}. */
   void enableFor(long ms) {
     boolean active = cluster.clock.now() < activeUntil;
     activeUntil = Math.max(activeUntil, cluster.clock.now() + ms);
@@ -148,7 +148,7 @@
   void missingField(int node, String field) {
     ObjectNode job = validJob();
     job.remove(field);
-    send(node, job, 400, "no " + field, missingField);
+    send(node, job, 400, "missing field " + field, missingField);
   }
 
   private void send(
--- a/src/test/java/dunlincroft/sim/VirtualClock.java
+++ b/src/test/java/dunlincroft/sim/VirtualClock.java
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** Simulated time: events run in order of time, then of their making. */
+/**
+ * Simulated time: events run in order of their time, and events of the same time in the order in
+ * which they were scheduled.
+ */
 public final class VirtualClock {
   private record Event(long at, long order, Runnable action) {}
 
