--- a/src/test/java/dunlincroft/sim/CalendarTest.java
+++ b/src/test/java/dunlincroft/sim/CalendarTest.java
@@ -88,8 +88,8 @@
     cluster.checks.restrictToWindow("simple", OPENS_MS, CUT_OFF_MS);
     Random random = new Random(seed);
     for (int i = 0; i < 40; i++) {
-      JobSpec windowJob = RulesTest.simple("run-n" + i, "blue", 10, 1);
-      JobSpec otherJob = RulesTest.job(random, i);
+      JobSpec windowJob = InvariantsTest.batchJob("run-n" + i, "blue", 10, 1);
+      JobSpec otherJob = InvariantsTest.randomJob(random, i);
       cluster.clock.after(3000 + 2500L * i, () -> cluster.submitAndFollow(windowJob, 0));
       cluster.clock.after(3000 + 2500L * i, () -> cluster.submitAndFollow(otherJob, 0));
     }
@@ -108,7 +108,7 @@
     cluster.clock.after(OPENS_MS - 1500, () -> fault.injection.accept(cluster));
     cluster.clock.after(CUT_OFF_MS - 8000, () -> fault.injection.accept(cluster));
     // More work than the cluster has capacity for, so that tasks wait at any time.
-    JobSpec largeJob = RulesTest.simple("run-many", "blue", 6000, 1);
+    JobSpec largeJob = InvariantsTest.batchJob("run-many", "blue", 6000, 1);
     cluster.clock.after(20_000, () -> cluster.submitAndFollow(largeJob, 0));
     cluster.clock.runUntil(OPENS_MS);
     assertThat(cluster.checks.windowClassStarts).as("starts before the opening").isZero();
@@ -150,7 +150,7 @@
   void withoutADocumentNoNightIsRecorded() throws MalformedException {
     SimCluster cluster = new SimCluster(43, Policy.DEFAULT, Size.FLEET);
     cluster.clock.after(
-        5000, () -> cluster.submitAndFollow(RulesTest.simple("run-a", "blue", 20, 1), 0));
+        5000, () -> cluster.submitAndFollow(InvariantsTest.batchJob("run-a", "blue", 20, 1), 0));
     cluster.clock.runUntil(60_000);
     assertThat(cluster.state.dataUnder("d/nights/")).isEmpty();
     assertThat(cluster.checks.finalStates).containsKey("run-a");
--- a/src/test/java/dunlincroft/sim/CancelAtEndTest.java
+++ b/src/test/java/dunlincroft/sim/CancelAtCompletionTest.java
@@ -19,26 +19,26 @@
  * holder and at other nodes, milliseconds before and after: the report of the end, the write of the
  * job's end, and its answer.
  */
-class CancelAtEndTest extends OverlappingFaultsScenario {
+class CancelAtCompletionTest extends OverlappingFaultsScenario {
   private static final int JOBS = 200;
 
-  private static final long TROUBLES_MS = 80_000;
+  private static final long FAULTS_OVER_MS = 80_000;
   private static final long END_MS = 150_000;
 
   /** From the report of a task's end to the write of its job's end takes so long at the most. */
-  private static final int WRITTEN_MS = 60;
+  private static final int MAX_END_WRITE_MS = 60;
 
-  private final Set<String> reported = new HashSet<>();
+  private final Set<String> reportedEnds = new HashSet<>();
 
   /** Meetings at the node that ran the job, and at others. */
-  private int atHolder;
+  private int requestsAtOwner;
 
-  private int elsewhere;
+  private int requestsAtOtherNodes;
 
   /** Ends that a cancellation came before in the state service, and the other way round. */
-  private int endsOvertaken;
+  private int rejectedEnds;
 
-  private int cancelsOvertaken;
+  private int rejectedCancels;
 
   /** Jobs called off around their end, by what their users were told. */
   private int answeredDone;
@@ -46,38 +46,38 @@
   private int answeredWithdrawn;
 
   private SimCluster smallJobs(long seed) throws MalformedException {
-    reported.clear();
+    reportedEnds.clear();
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     Random random = new Random(seed);
-    cluster.checks.setFaultsEnd(TROUBLES_MS);
-    cluster.requestBursts.cancelAtEnd(0.2, TROUBLES_MS);
+    cluster.checks.setFaultsEnd(FAULTS_OVER_MS);
+    cluster.requestBursts.cancelAtEnd(0.2, FAULTS_OVER_MS);
     cluster.net.onSent =
         (path, body) -> {
           if (path.equals("/hello")) {
-            report(cluster, random, body);
+            onWorkerReport(cluster, random, body);
           }
         };
     for (int i = 0; i < JOBS; i++) {
-      JobSpec spec = RulesTest.simple("run-" + i, "blue", 1 + random.nextInt(3), 0.5);
+      JobSpec spec = InvariantsTest.batchJob("run-" + i, "blue", 1 + random.nextInt(3), 0.5);
       cluster.clock.after(5000 + 250L * i, () -> cluster.submitAndFollow(spec, 0));
     }
     return cluster;
   }
 
   /** A worker's report of the end of a job's last task leaves: users act around what follows. */
-  private void report(SimCluster cluster, Random random, ObjectNode body) {
-    for (JsonNode piece : body.path("pieces")) {
-      String ref = piece.path("piece").asText().split("/")[0];
+  private void onWorkerReport(SimCluster cluster, Random random, ObjectNode body) {
+    for (JsonNode task : body.path("pieces")) {
+      String ref = task.path("piece").asText().split("/")[0];
       int ended = cluster.checks.completedTasks.getOrDefault(ref, Set.of()).size();
       boolean last = ended == cluster.specOf(ref).taskCount();
-      if (last && piece.path("cause").asText().equals("done") && reported.add(ref)) {
-        boolean there = random.nextBoolean();
-        int node = there ? holderOf(cluster, ref) : random.nextInt(cluster.nodeCount());
+      if (last && task.path("cause").asText().equals("done") && reportedEnds.add(ref)) {
+        boolean toOwner = random.nextBoolean();
+        int node = toOwner ? ownerNodeOf(cluster, ref) : random.nextInt(cluster.nodeCount());
         JobSpec spec = cluster.specOf(ref);
-        long offset = random.nextInt(WRITTEN_MS);
+        long offset = random.nextInt(MAX_END_WRITE_MS);
         if (node >= 0) {
-          atHolder += there ? 1 : 0;
-          elsewhere += there ? 0 : 1;
+          requestsAtOwner += toOwner ? 1 : 0;
+          requestsAtOtherNodes += toOwner ? 0 : 1;
           cluster.clock.after(offset, () -> cluster.requestBursts.cancelNearEnd(node, spec));
         }
       }
@@ -85,7 +85,7 @@
   }
 
   /** The node that runs a job, by the records; -1: its end is recorded. */
-  private static int holderOf(SimCluster cluster, String ref) {
+  private static int ownerNodeOf(SimCluster cluster, String ref) {
     JsonNode job = cluster.state.dataUnder("d/jobs/" + ref).get("");
     if (job == null || job.has("status")) {
       return -1;
@@ -96,10 +96,10 @@
   }
 
   /** Plays a day to its end and counts what met on it. */
-  private void play(SimCluster cluster) {
+  private void playAndCount(SimCluster cluster) {
     runAndVerify(cluster, END_MS);
-    endsOvertaken += cluster.state.rejectedEnds;
-    cancelsOvertaken += cluster.state.rejectedCancels;
+    rejectedEnds += cluster.state.rejectedEnds;
+    rejectedCancels += cluster.state.rejectedCancels;
     for (String ref : cluster.checks.cancelRequested) {
       boolean ended = cluster.checks.completedTasks.getOrDefault(ref, Set.of()).size() > 0;
       boolean done = cluster.checks.finalStates.get(ref).equals("done");
@@ -108,45 +108,47 @@
     }
   }
 
-  private void assertMet(int days) {
-    assertThat(atHolder).as("at the holder").isGreaterThan(20 * days);
-    assertThat(elsewhere).as("at other nodes").isGreaterThan(20 * days);
-    assertThat(endsOvertaken).as("ends refused by a cancellation").isGreaterThan(days);
-    assertThat(cancelsOvertaken).as("cancellations refused by the end").isGreaterThan(1);
+  private void assertRequestsOverlappedEnds(int days) {
+    assertThat(requestsAtOwner).as("at the holder").isGreaterThan(20 * days);
+    assertThat(requestsAtOtherNodes).as("at other nodes").isGreaterThan(20 * days);
+    assertThat(rejectedEnds).as("ends refused by a cancellation").isGreaterThan(days);
+    assertThat(rejectedCancels).as("cancellations refused by the end").isGreaterThan(1);
     assertThat(answeredDone).as("the end came first").isGreaterThan(10 * days);
     assertThat(answeredWithdrawn).as("the cancellation came first").isGreaterThan(10 * days);
   }
 
   @Test
-  void cancellationsMeetTheEndOfTheLastTask() throws MalformedException {
+  void cancellationsAroundTheEndOfTheLastTask() throws MalformedException {
     for (long seed = 1; seed <= 4; seed++) {
-      play(smallJobs(seed));
+      playAndCount(smallJobs(seed));
     }
-    assertMet(4);
+    assertRequestsOverlappedEnds(4);
   }
 
   /** The same while the holder changes, at the very moment of some ends. */
   @Test
-  void andTheHolderChanges() throws MalformedException {
+  void cancellationsAroundTheEndDuringOwnerChanges() throws MalformedException {
     for (long seed = 5; seed <= 8; seed++) {
       SimCluster cluster = smallJobs(seed);
-      long away = seed % 2 == 0 ? 200 : 8000;
-      int[] changes = new int[1];
-      long[] next = {20_000};
-      BiConsumer<String, ObjectNode> inner = cluster.net.onSent;
+      long awayMs = seed % 2 == 0 ? 200 : 8000;
+      int[] ownerChanges = new int[1];
+      long[] nextChangeAt = {20_000};
+      BiConsumer<String, ObjectNode> previousListener = cluster.net.onSent;
       cluster.net.onSent =
           (path, body) -> {
-            int before = reported.size();
-            inner.accept(path, body);
-            if (reported.size() > before && cluster.clock.now() > next[0] && changes[0] < 5) {
-              changes[0]++;
-              next[0] = cluster.clock.now() + 9000;
-              cluster.clock.after(changes[0] * 11L, () -> cluster.crashOwner(away));
+            int before = reportedEnds.size();
+            previousListener.accept(path, body);
+            if (reportedEnds.size() > before
+                && cluster.clock.now() > nextChangeAt[0]
+                && ownerChanges[0] < 5) {
+              ownerChanges[0]++;
+              nextChangeAt[0] = cluster.clock.now() + 9000;
+              cluster.clock.after(ownerChanges[0] * 11L, () -> cluster.crashOwner(awayMs));
             }
           };
-      play(cluster);
-      assertThat(changes[0]).as("changes of the holder at an end").isEqualTo(5);
+      playAndCount(cluster);
+      assertThat(ownerChanges[0]).as("changes of the holder at an end").isEqualTo(5);
     }
-    assertMet(4);
+    assertRequestsOverlappedEnds(4);
   }
 }
--- a/src/test/java/dunlincroft/sim/CancelDuringHandoverTest.java
+++ b/src/test/java/dunlincroft/sim/CancelDuringHandoverTest.java
@@ -22,39 +22,39 @@
   private static final long[] OFFSETS_MS = {0, 2, 5, 10, 20, 40, 80, 160, 320};
 
   /** Pauses between users that cancel while no step can be seen. */
-  private static final long EACH_MS = 60;
+  private static final long CANCEL_INTERVAL_MS = 60;
 
   /** An order, and the fetch of the image that it begins. */
-  private static final long ON_ITS_WAY_MS = 2500;
+  private static final long ORDER_IN_FLIGHT_MS = 2500;
 
-  private CancellationLog log;
-  private OwnershipChanges hands;
-  private int next;
+  private CancellationLog cancelLog;
+  private OwnershipChanges ownershipChanges;
+  private int nextJob;
   private int nextNode;
 
   /** The busy cluster, with more jobs, and all that is done in it watched. */
-  private SimCluster watched(long seed, Policy policy) throws MalformedException {
+  private SimCluster observedCluster(long seed, Policy policy) throws MalformedException {
     SimCluster cluster = busyCluster(seed, policy);
     Random random = new Random(seed + 1000);
     for (int i = 100; i < 300; i++) {
-      JobSpec spec = PairsTest.job(random, i);
+      JobSpec spec = FaultPairsTest.randomJob(random, i);
       jobs.add(spec);
       long at = 12_000 + 200L * (i - 100);
       cluster.clock.after(at, () -> cluster.submitAndFollow(spec, spec.isService() ? 150_000 : 0));
     }
-    log = new CancellationLog(cluster);
-    hands = new OwnershipChanges(cluster);
+    cancelLog = new CancellationLog(cluster);
+    ownershipChanges = new OwnershipChanges(cluster);
     return cluster;
   }
 
   /** Some user cancels an open job of a shard, if there is any, through the next controller. */
   private void cancelOne(SimCluster cluster, String shard) {
     for (int i = 0; i < jobs.size(); i++) {
-      JobSpec spec = jobs.get((next + i) % jobs.size());
+      JobSpec spec = jobs.get((nextJob + i) % jobs.size());
       String ref = spec.ref();
-      boolean open = log.isOpen(ref) && !cluster.checks.cancelRequested.contains(ref);
-      if (open && (shard == null || shard.equals(log.shardOf(ref)))) {
-        next = (next + i + 1) % jobs.size();
+      boolean open = cancelLog.isOpen(ref) && !cluster.checks.cancelRequested.contains(ref);
+      if (open && (shard == null || shard.equals(cancelLog.shardOf(ref)))) {
+        nextJob = (nextJob + i + 1) % jobs.size();
         cluster.pinConnection(ref, nextNode++ % cluster.nodeCount());
         cluster.cancel(spec);
         return;
@@ -62,47 +62,50 @@
     }
   }
 
-  private void cancelAfter(SimCluster cluster, String shard) {
+  private void cancelAtOffsets(SimCluster cluster, String shard) {
     for (long ms : OFFSETS_MS) {
       cluster.clock.after(ms, () -> cancelOne(cluster, shard));
     }
   }
 
   /** From now on, users cancel after each step of any change of hands. */
-  private void cancelAtSteps(SimCluster cluster) {
-    hands.listeners.add(
+  private void cancelAfterEachStep(SimCluster cluster) {
+    ownershipChanges.listeners.add(
         (step, change) -> {
           if (step != Step.FIRST_PLACEMENT) {
-            cancelAfter(cluster, change.shard);
+            cancelAtOffsets(cluster, change.shard);
           }
         });
   }
 
   /** Users cancel jobs of a shard, one after the other. */
-  private void cancelFor(SimCluster cluster, String shard, int number, long eachMs) {
+  private void cancelRepeatedly(SimCluster cluster, String shard, int number, long eachMs) {
     for (int i = 0; i < number; i++) {
       cluster.clock.after(eachMs * i, () -> cancelOne(cluster, shard));
     }
   }
 
   /** Cancellations that users were told of in a part of the changes of hands. */
-  private record Met(long beforeTheRecord, long beforeTheFirstWrite, long beforePlacements) {
-    long all() {
-      return beforeTheRecord + beforeTheFirstWrite + beforePlacements;
+  private record ToldCancellations(
+      long beforeOwnerRecord, long beforeFirstWrite, long beforeFirstPlacement) {
+    long total() {
+      return beforeOwnerRecord + beforeFirstWrite + beforeFirstPlacement;
     }
   }
 
-  private Met met(List<Change> changes) {
+  private ToldCancellations countTold(List<Change> changes) {
     long before = 0;
     long reading = 0;
     long placing = 0;
     for (Change each : changes) {
-      before += log.confirmedCancellations(each.shard, each.lastOldWriteAt, each.recordedAt);
-      reading += log.confirmedCancellations(each.shard, each.recordedAt + 1, each.firstNewWriteAt);
+      before += cancelLog.confirmedCancellations(each.shard, each.lastOldWriteAt, each.recordedAt);
+      reading +=
+          cancelLog.confirmedCancellations(each.shard, each.recordedAt + 1, each.firstNewWriteAt);
       placing +=
-          log.confirmedCancellations(each.shard, each.firstNewWriteAt + 1, each.firstPlacementAt);
+          cancelLog.confirmedCancellations(
+              each.shard, each.firstNewWriteAt + 1, each.firstPlacementAt);
     }
-    return new Met(before, reading, placing);
+    return new ToldCancellations(before, reading, placing);
   }
 
   private static String firstShard(SimCluster cluster) {
@@ -110,11 +113,11 @@
   }
 
   /** No start was recorded after a cancellation, and none but those on their way came about. */
-  private void nothingStarts(SimCluster cluster) {
-    assertThat(log.startsAfterCancellation).isEmpty();
+  private void assertNothingStarts(SimCluster cluster) {
+    assertThat(cancelLog.startsAfterCancellation).isEmpty();
     assertThat(cluster.checks.startedAfterCancelMs)
         .as("orders that were on their way")
-        .allMatch(ms -> ms < ON_ITS_WAY_MS);
+        .allMatch(ms -> ms < ORDER_IN_FLIGHT_MS);
   }
 
   /** The holder ends for good or for a moment; who takes its work over is another, or it itself. */
@@ -123,28 +126,31 @@
   void cancelledWhileASuccessorTakesOver(long seed, long awayMs, long offsetMs)
       throws MalformedException {
     SimCluster cluster =
-        watched(seed, seed % 2 == 0 ? Policy.parse("holder_machines = 12;") : Policy.DEFAULT);
+        observedCluster(
+            seed, seed % 2 == 0 ? Policy.parse("holder_machines = 12;") : Policy.DEFAULT);
     cluster.clock.runUntil(FAULTS_AT_MS);
     String shard = firstShard(cluster);
-    cancelAtSteps(cluster);
+    cancelAfterEachStep(cluster);
     cluster.crashOwner(awayMs);
     cluster.clock.runUntil(FAULTS_AT_MS + offsetMs);
-    cancelFor(cluster, shard, 20, EACH_MS);
+    cancelRepeatedly(cluster, shard, 20, CANCEL_INTERVAL_MS);
     cluster.clock.runUntil(FAULTS_AT_MS + 30_000);
-    Met met = met(hands.changes.stream().filter(each -> each.shard.equals(shard)).toList());
-    assertThat(met.beforeTheRecord).as("told before the record").isPositive();
-    assertThat(met.beforeTheFirstWrite).as("told before the first write").isPositive();
-    assertThat(met.all()).as("told in the change of hands").isGreaterThan(4);
+    ToldCancellations toldCancels =
+        countTold(
+            ownershipChanges.changes.stream().filter(each -> each.shard.equals(shard)).toList());
+    assertThat(toldCancels.beforeOwnerRecord).as("told before the record").isPositive();
+    assertThat(toldCancels.beforeFirstWrite).as("told before the first write").isPositive();
+    assertThat(toldCancels.total()).as("told in the change of hands").isGreaterThan(4);
     runAndVerify(cluster);
-    nothingStarts(cluster);
+    assertNothingStarts(cluster);
   }
 
   /** Another took a shard, and hands it back, with blocks and shares going from one to another. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void cancelledWhileAShardGoesBack(long seed) throws MalformedException {
-    SimCluster cluster = watched(seed, Policy.parse("holder_machines = 6;"));
-    int[] given = new int[1];
+  void cancelledWhileAShardIsHandedBack(long seed) throws MalformedException {
+    SimCluster cluster = observedCluster(seed, Policy.parse("holder_machines = 6;"));
+    int[] handedOn = new int[1];
     cluster.clock.runUntil(FAULTS_AT_MS);
     String shard = firstShard(cluster);
     assertThat(cluster.state.dataUnder("d/leases/").get("one").path("holders")).hasSize(5);
@@ -152,23 +158,24 @@
     cluster.clock.runUntil(FAULTS_AT_MS + 15_900);
     // Writes are some tens of milliseconds on their way: users are told of others meanwhile.
     cluster.slowStateService(10, 2500);
-    cancelAtSteps(cluster);
-    hands.transferListeners.add(
+    cancelAfterEachStep(cluster);
+    ownershipChanges.transferListeners.add(
         from -> {
-          if (given[0]++ % 3 == 0) {
+          if (handedOn[0]++ % 3 == 0) {
             cluster.clock.after(3, () -> cancelOne(cluster, from));
           }
         });
-    cancelFor(cluster, shard, 80, 15);
+    cancelRepeatedly(cluster, shard, 80, 15);
     cluster.clock.runUntil(FAULTS_AT_MS + 60_000);
-    Met met = met(hands.changes.stream().filter(each -> each.planned).toList());
-    assertThat(hands.blocksTransferred).as("blocks handed on").isGreaterThan(10);
-    assertThat(hands.sharesTransferred).as("shares handed on").isGreaterThan(10);
-    assertThat(given[0]).as("handed on while users cancel").isGreaterThan(5);
-    assertThat(met.beforeTheRecord + met.beforeTheFirstWrite)
+    ToldCancellations toldCancels =
+        countTold(ownershipChanges.changes.stream().filter(each -> each.planned).toList());
+    assertThat(ownershipChanges.blocksTransferred).as("blocks handed on").isGreaterThan(10);
+    assertThat(ownershipChanges.sharesTransferred).as("shares handed on").isGreaterThan(10);
+    assertThat(handedOn[0]).as("handed on while users cancel").isGreaterThan(5);
+    assertThat(toldCancels.beforeOwnerRecord + toldCancels.beforeFirstWrite)
         .as("told between the last write of the old holder and the first of the new one")
         .isGreaterThan(3);
     runAndVerify(cluster);
-    nothingStarts(cluster);
+    assertNothingStarts(cluster);
   }
 }
--- a/src/test/java/dunlincroft/sim/CancelChecksTest.java
+++ b/src/test/java/dunlincroft/sim/CancellationCheckTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The checks of cancellations find planted faults. */
-class CancelChecksTest extends OverlappingFaultsScenario {
+class CancellationCheckTest extends OverlappingFaultsScenario {
   /** A job that was cancelled, and whose user has been told. */
-  private JobSpec cancelled(SimCluster cluster) {
-    JobSpec spec = RulesTest.simple("run-cancelled", "blue", 2, 1, 60, 0);
+  private JobSpec cancelledJob(SimCluster cluster) {
+    JobSpec spec = InvariantsTest.batchJob("run-cancelled", "blue", 2, 1, 60, 0);
     cluster.submitAndFollow(spec, 8000);
     while (!cluster.checks.cancelConfirmedAt.containsKey(spec.ref())) {
       cluster.clock.runUntil(cluster.clock.now() + 10);
@@ -28,7 +28,7 @@
   }
 
   /** Plants a start, under the highest token there is. */
-  private static void plant(SimCluster cluster, SimWorker worker, JobSpec spec) {
+  private static void sendPlantedStart(SimCluster cluster, SimWorker worker, JobSpec spec) {
     List<WorkerOrder> orders = List.of(WorkerOrder.run(spec.ref() + "/0", 7));
     ObjectNode body = WorkerOrder.body(1L << 40, orders).put("tenure", worker.session());
     Env.Call call =
@@ -44,13 +44,13 @@
   /** A controller that orders a start long after the cancellation; one in flight is counted. */
   @ParameterizedTest
   @ValueSource(longs = {200, 4500, 20_000})
-  void startsAfterTheWordAreFound(long afterMs) throws MalformedException {
+  void startsOrderedAfterTheConfirmationAreReported(long afterMs) throws MalformedException {
     SimCluster cluster = busyCluster(1);
     cluster.clock.runUntil(FAULTS_AT_MS);
-    JobSpec spec = cancelled(cluster);
+    JobSpec spec = cancelledJob(cluster);
     SimWorker worker = cluster.cloud.machines.firstEntry().getValue();
     cluster.clock.runUntil(cluster.checks.cancelConfirmedAt.get(spec.ref()) + afterMs);
-    plant(cluster, worker, spec);
+    sendPlantedStart(cluster, worker, spec);
     cluster.clock.runUntil(cluster.clock.now() + 1000);
     assertThat(cluster.checks.startsAfterCancellation.sentAfterConfirmation).isOne();
     assertThat(cluster.checks.violations)
@@ -63,14 +63,14 @@
   void startsInFlightAreCounted() throws MalformedException {
     SimCluster cluster = busyCluster(1);
     cluster.clock.runUntil(FAULTS_AT_MS);
-    JobSpec spec = RulesTest.simple("run-cancelled", "blue", 2, 1, 60, 0);
+    JobSpec spec = InvariantsTest.batchJob("run-cancelled", "blue", 2, 1, 60, 0);
     cluster.submitAndFollow(spec, 3000);
     SimWorker worker = cluster.cloud.machines.firstEntry().getValue();
     cluster.clock.runUntil(FAULTS_AT_MS + 2000);
     cluster.net.delayedCommands.fixedDelayMs = 9000;
     cluster.net.delayedCommands.commands =
         (from, to, body) -> body.path("fence").asLong() == 1L << 40;
-    plant(cluster, worker, spec);
+    sendPlantedStart(cluster, worker, spec);
     cluster.clock.runUntil(FAULTS_AT_MS + 12_000);
     assertThat(cluster.net.delayedCommands.arrivals).hasSize(1);
     assertThat(cluster.checks.startsAfterCancellation.inFlight).isOne();
@@ -80,21 +80,23 @@
   /** Cancelled tasks of a machine that nobody reaches and that hung; planted: without a lease. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void cancelledTasksThatGoOnAfterAHangAreFound(boolean keepsTasks) throws MalformedException {
+  void cancelledTasksRunningAfterAHangAreReported(boolean keepsTasks) throws MalformedException {
     SimCluster cluster = busyCluster(2);
     cluster.clock.runUntil(FAULTS_AT_MS);
     List<JobSpec> running = cluster.longRunningJobs();
-    List<SimWorker> out =
+    List<SimWorker> unreachable =
         running.stream()
             .flatMap(spec -> cluster.checks.machinesRunning(spec.ref()).stream())
             .toList();
-    out.forEach(worker -> worker.keepsTasksAfterLease = keepsTasks);
-    out.forEach(worker -> cluster.cutWorkerFromControllers(worker, 70_000));
+    unreachable.forEach(worker -> worker.keepsTasksAfterLease = keepsTasks);
+    unreachable.forEach(worker -> cluster.cutWorkerFromControllers(worker, 70_000));
     cluster.cutCloud(70_000);
     cluster.cancelRunningJobs(12, 30_000);
     cluster.clock.runUntil(FAULTS_AT_MS + 29_000);
     assertThat(
-            out.stream().flatMap(worker -> worker.tasks.values().stream()).filter(Task::isActive))
+            unreachable.stream()
+                .flatMap(worker -> worker.tasks.values().stream())
+                .filter(Task::isActive))
         .as("cancelled tasks of hanging machines")
         .anyMatch(task -> cluster.checks.cancelConfirmedAt.containsKey(task.spec.ref()));
     cluster.clock.runUntil(FAULTS_AT_MS + 60_000);
--- a/src/test/java/dunlincroft/sim/ScarcityTest.java
+++ b/src/test/java/dunlincroft/sim/CapacityShortageTest.java
@@ -16,18 +16,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Room is scarce: for all work at once, or in the one zone that a job may run in. */
-class ScarcityTest extends OverlappingFaultsScenario {
+class CapacityShortageTest extends OverlappingFaultsScenario {
   private static final String ZONE = "b";
 
   /** Two tasks' time, and a change of the leader with its sync over slow links. */
-  private static final long URGENT_BEGINS_MS = 45_000;
+  private static final long URGENT_START_MS = 45_000;
 
   /** What a job's tasks need of their place. */
-  private record Place(String hall, boolean samePlace, boolean spread) {
-    static final Place ANY = new Place(null, false, false);
+  private record PlacementConstraints(String zone, boolean samePlace, boolean spread) {
+    static final PlacementConstraints ANY = new PlacementConstraints(null, false, false);
   }
 
-  private static JobSpec job(String ref, String rank, int pieces, double expectS, Place place)
+  private static JobSpec job(
+      String ref, String rank, int taskCount, double expectS, PlacementConstraints constraints)
       throws MalformedException {
     boolean service = rank.equals("prod");
     return JobSpec.parse(
@@ -37,27 +38,28 @@
             .put("owner", "blue")
             .put("shape", service ? "daemon" : "batch")
             .put("rank", rank)
-            .put("pieces", pieces)
+            .put("pieces", taskCount)
             .put("cpus", 2)
             .put("gpus", 0)
             .put("ramGb", 1)
             .put("bundle", "img-" + Math.floorMod(ref.hashCode(), 4))
             .put("imageGb", 1)
-            .put("hall", place.hall)
-            .put("samePlace", place.samePlace)
-            .put("spread", place.spread)
+            .put("hall", constraints.zone)
+            .put("samePlace", constraints.samePlace)
+            .put("spread", constraints.spread)
             .put("lendable", !service)
             .put("expectS", expectS)
             .put("snapshotS", 0)
             .put("flushS", 0));
   }
 
-  private static void send(SimCluster cluster, long atMs, JobSpec spec, long cancelAfterMs) {
+  private static void submitAt(SimCluster cluster, long atMs, JobSpec spec, long cancelAfterMs) {
     cluster.clock.after(atMs, () -> cluster.submitAndFollow(spec, cancelAfterMs));
   }
 
-  private static long medianWait(SimCluster cluster, List<JobSpec> of) {
-    List<Long> waits = of.stream().map(spec -> cluster.checks.startDelayMs(spec.ref())).toList();
+  private static long medianWait(SimCluster cluster, List<JobSpec> waitingJobs) {
+    List<Long> waits =
+        waitingJobs.stream().map(spec -> cluster.checks.startDelayMs(spec.ref())).toList();
     return waits.stream().sorted().skip(waits.size() / 2).findFirst().orElseThrow();
   }
 
@@ -67,7 +69,7 @@
    */
   @ParameterizedTest
   @CsvSource({"1,0", "2,4000", "4,15000"})
-  void moreWorkThanRoomOverSlowLinks(long seed, long offMs) throws MalformedException {
+  void excessWorkOverSlowLinks(long seed, long offsetMs) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.cloud.maxMachines = 12;
     cluster.checks.setFaultsEnd(180_000);
@@ -76,50 +78,58 @@
     }
     Random random = new Random(seed);
     List<JobSpec> urgent = new ArrayList<>();
-    List<JobSpec> beside = new ArrayList<>();
+    List<JobSpec> normal = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       String rank = random.nextBoolean() ? "normal" : "idle";
-      int pieces = i % 10 == 4 ? 150 : 15 + random.nextInt(25);
-      send(cluster, 5000 + 1000L * i, job("run-w" + i, rank, pieces, 15, Place.ANY), 0);
+      int taskCount = i % 10 == 4 ? 150 : 15 + random.nextInt(25);
+      submitAt(
+          cluster,
+          5000 + 1000L * i,
+          job("run-w" + i, rank, taskCount, 15, PlacementConstraints.ANY),
+          0);
     }
     for (int i = 0; i < 20; i++) {
-      JobSpec now = job("run-u" + i, "urgent", 1 + random.nextInt(4), 15, Place.ANY);
-      JobSpec rest = job("run-r" + i, "normal", 1 + random.nextInt(4), 15, Place.ANY);
-      urgent.add(now);
-      beside.add(rest);
-      send(cluster, 45_000 + 2500L * i, now, 0);
-      send(cluster, 45_000 + 2500L * i, rest, 0);
+      JobSpec urgentJob =
+          job("run-u" + i, "urgent", 1 + random.nextInt(4), 15, PlacementConstraints.ANY);
+      JobSpec normalJob =
+          job("run-r" + i, "normal", 1 + random.nextInt(4), 15, PlacementConstraints.ANY);
+      urgent.add(urgentJob);
+      normal.add(normalJob);
+      submitAt(cluster, 45_000 + 2500L * i, urgentJob, 0);
+      submitAt(cluster, 45_000 + 2500L * i, normalJob, 0);
     }
     Set<String> leaders = new HashSet<>();
-    Set<String> lives = new HashSet<>();
-    int[] full = new int[1];
+    Set<String> incarnations = new HashSet<>();
+    int[] changesAtCapacity = new int[1];
     for (int i = 0; i < 4; i++) {
-      boolean atOnce = i % 2 == 0;
+      boolean restarts = i % 2 == 0;
       cluster.clock.after(
-          42_000 + offMs + 13_000L * i,
+          42_000 + offsetMs + 13_000L * i,
           () -> {
             leaders.add(cluster.ownerName());
-            lives.add(cluster.ownerIncarnation());
+            incarnations.add(cluster.ownerIncarnation());
             long free =
                 cluster.cloud.machines.values().stream()
                     .mapToLong(w -> w.freeCapacity().cpu())
                     .sum();
-            full[0] += cluster.cloud.machines.size() == 12 && free < 12 * 4000 ? 1 : 0;
-            cluster.crashOwner(atOnce ? 200 : 12_000);
+            changesAtCapacity[0] += cluster.cloud.machines.size() == 12 && free < 12 * 4000 ? 1 : 0;
+            cluster.crashOwner(restarts ? 200 : 12_000);
           });
     }
     cluster.clock.runUntil(180_000);
-    assertThat(lives)
+    assertThat(incarnations)
         .as("leaders that ended, each life of a process for itself")
         .hasSizeGreaterThan(2);
     assertThat(leaders).as("of different nodes").hasSizeGreaterThan(1);
-    assertThat(full[0]).as("changes of leader while all machines were full").isGreaterThan(2);
+    assertThat(changesAtCapacity[0])
+        .as("changes of leader while all machines were full")
+        .isGreaterThan(2);
     assertThat(urgent)
         .as("urgent work begins soon")
-        .allMatch(spec -> cluster.checks.startDelayMs(spec.ref()) < URGENT_BEGINS_MS);
+        .allMatch(spec -> cluster.checks.startDelayMs(spec.ref()) < URGENT_START_MS);
     assertThat(medianWait(cluster, urgent) * 2)
         .as("before the rest")
-        .isLessThan(medianWait(cluster, beside));
+        .isLessThan(medianWait(cluster, normal));
     runAndVerify(cluster);
     assertThat(cluster.checks.largestStartedLate()).isEmpty();
     assertThat(cluster.checks.minDoneShare()).isEqualTo(1);
@@ -132,10 +142,10 @@
     ZONE_CUT
   }
 
-  private static long tasksOf(List<JobSpec> jobs, List<SimWorker> on) {
+  private static long runningTasksOf(List<JobSpec> jobs, List<SimWorker> workers) {
     Set<String> refs = new HashSet<>();
     jobs.forEach(spec -> refs.add(spec.ref()));
-    return on.stream()
+    return workers.stream()
         .flatMap(worker -> worker.tasks.values().stream())
         .filter(task -> task.isActive() && refs.contains(task.spec.ref()))
         .count();
@@ -154,29 +164,39 @@
     "6,ZONE_CUT,0",
     "8,ZONE_CUT,7000"
   })
-  void jobsOfOneZoneLoseTheirMachines(long seed, Loss loss, long offMs) throws MalformedException {
+  void zoneBoundJobsLoseTheirMachines(long seed, Loss loss, long offsetMs)
+      throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.checks.setFaultsEnd(FAULTS_AT_MS + 90_000);
     Random random = new Random(seed);
-    List<JobSpec> bound = new ArrayList<>();
+    List<JobSpec> zoneBound = new ArrayList<>();
     List<JobSpec> others = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      int pieces = 3 + random.nextInt(10);
-      bound.add(job("run-b" + i, "normal", pieces, 25, new Place(ZONE, i % 2 == 0, false)));
-      others.add(job("run-t" + i, "normal", pieces, 25, new Place(null, true, false)));
-      others.add(job("run-s" + i, "prod", 2 + i % 3, 0, new Place(null, false, true)));
+      int taskCount = 3 + random.nextInt(10);
+      zoneBound.add(
+          job(
+              "run-b" + i,
+              "normal",
+              taskCount,
+              25,
+              new PlacementConstraints(ZONE, i % 2 == 0, false)));
+      others.add(
+          job("run-t" + i, "normal", taskCount, 25, new PlacementConstraints(null, true, false)));
+      others.add(
+          job("run-s" + i, "prod", 2 + i % 3, 0, new PlacementConstraints(null, false, true)));
     }
-    bound.forEach(spec -> send(cluster, 5000 + random.nextInt(25_000), spec, 0));
+    zoneBound.forEach(spec -> submitAt(cluster, 5000 + random.nextInt(25_000), spec, 0));
     others.forEach(
-        spec -> send(cluster, 5000 + random.nextInt(25_000), spec, spec.isService() ? 200_000 : 0));
-    cluster.clock.runUntil(FAULTS_AT_MS - 10_000 + offMs);
+        spec ->
+            submitAt(cluster, 5000 + random.nextInt(25_000), spec, spec.isService() ? 200_000 : 0));
+    cluster.clock.runUntil(FAULTS_AT_MS - 10_000 + offsetMs);
     cluster.cloud.zonesWithoutCapacity.add(ZONE);
-    lose(cluster, loss, bound, others);
+    loseZone(cluster, loss, zoneBound, others);
     cluster.clock.after(35_000, () -> cluster.cloud.zonesWithoutCapacity.clear());
     cluster.clock.after(3000, () -> cluster.crashOwner(200));
     cluster.clock.runUntil(FAULTS_AT_MS + 20_000);
     if (loss == Loss.MACHINES_DIE) {
-      assertThat(tasksOf(bound, List.copyOf(cluster.cloud.machines.values())))
+      assertThat(runningTasksOf(zoneBound, List.copyOf(cluster.cloud.machines.values())))
           .as("nowhere else")
           .isZero();
     }
@@ -185,22 +205,26 @@
   }
 
   /** Takes a zone's machines, and sees to it that they had tasks of the jobs that are bound. */
-  private static void lose(
-      SimCluster cluster, Loss loss, List<JobSpec> bound, List<JobSpec> others) {
-    List<SimWorker> hit =
+  private static void loseZone(
+      SimCluster cluster, Loss loss, List<JobSpec> zoneBound, List<JobSpec> others) {
+    List<SimWorker> lostWorkers =
         cluster.cloud.machines.values().stream()
             .filter(worker -> worker.zone.equals(ZONE))
             .filter(worker -> loss != Loss.SPOT_WAVE || worker.spot)
             .toList();
-    assertThat(tasksOf(bound, hit)).as("tasks of the zone's jobs that are lost").isGreaterThan(5);
+    assertThat(runningTasksOf(zoneBound, lostWorkers))
+        .as("tasks of the zone's jobs that are lost")
+        .isGreaterThan(5);
     if (loss != Loss.SPOT_WAVE) {
-      assertThat(tasksOf(others, hit)).as("tasks of others that are lost").isGreaterThan(2);
+      assertThat(runningTasksOf(others, lostWorkers))
+          .as("tasks of others that are lost")
+          .isGreaterThan(2);
     }
     if (loss == Loss.ZONE_CUT) {
       cluster.cutZone(ZONE, 40_000);
     } else {
-      hit.forEach(worker -> cluster.cloud.machines.remove(worker.host));
-      hit.forEach(SimWorker::terminate);
+      lostWorkers.forEach(worker -> cluster.cloud.machines.remove(worker.host));
+      lostWorkers.forEach(SimWorker::terminate);
     }
   }
 }
--- a/src/test/java/dunlincroft/sim/HeldUpCommandsTest.java
+++ b/src/test/java/dunlincroft/sim/DelayedCommandsTest.java
@@ -14,22 +14,23 @@
  * Single commands are held up on their way while reports go on, of jobs that are cancelled as they
  * start, and their team is at its limit: room that is given away too early shows at once.
  */
-class HeldUpCommandsTest {
+class DelayedCommandsTest {
   private static final int JOBS = 160;
-  private static final long FROM_MS = 15_000;
+  private static final long FIRST_SUBMIT_MS = 15_000;
 
   @ParameterizedTest
   @ValueSource(longs = {2, 3, 4})
-  void cancelledAsTheirCommandsAreHeldUp(long seed) throws MalformedException {
+  void cancelledWhileCommandsAreDelayed(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.checks.setFaultsEnd(140_000);
     Random random = new Random(seed);
     for (int i = 0; i < JOBS; i++) {
-      JobSpec spec = RulesTest.simple("run-" + i, "red", 2, 4);
+      JobSpec spec = InvariantsTest.batchJob("run-" + i, "red", 2, 4);
       long cancelMs = i % 3 == 0 ? 0 : 1000 + random.nextInt(30_000);
-      cluster.clock.after(FROM_MS + 400L * i, () -> cluster.submitAndFollow(spec, cancelMs));
+      cluster.clock.after(
+          FIRST_SUBMIT_MS + 400L * i, () -> cluster.submitAndFollow(spec, cancelMs));
     }
-    cluster.clock.runUntil(FROM_MS);
+    cluster.clock.runUntil(FIRST_SUBMIT_MS);
     cluster.net.delayedCommandShare = 0.3;
     cluster.clock.runUntil(100_000);
     cluster.net.delayedCommandShare = 0;
--- a/src/test/java/dunlincroft/sim/HeldReportsTest.java
+++ b/src/test/java/dunlincroft/sim/DelayedReportsTest.java
@@ -8,16 +8,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Old reports come when another has begun to act, at all controllers or at the new holder. */
-class HeldReportsTest extends OverlappingFaultsScenario {
+class DelayedReportsTest extends OverlappingFaultsScenario {
   /** Changes of the holder, some of them to another and some to its own next life. */
-  private static void changeHands(SimCluster cluster, int number, long eachMs) {
+  private static void crashOwners(SimCluster cluster, int number, long eachMs) {
     for (int i = 0; i < number; i++) {
-      boolean atOnce = i % 2 == 1;
-      cluster.clock.after(eachMs * i, () -> cluster.crashOwner(atOnce ? 200 : 9000));
+      boolean restarts = i % 2 == 1;
+      cluster.clock.after(eachMs * i, () -> cluster.crashOwner(restarts ? 200 : 9000));
     }
   }
 
-  private SimCluster held(long seed) throws MalformedException {
+  private SimCluster clusterWithDelayedReports(long seed) throws MalformedException {
     return busyCluster(
         seed, seed % 2 == 0 ? Policy.parse("holder_machines = 12;") : Policy.DEFAULT);
   }
@@ -25,12 +25,12 @@
   /** Copies of reports reach every controller within the second in which a new one begins. */
   @ParameterizedTest
   @CsvSource({"1,6000", "2,11000", "3,16000", "4,9000"})
-  void oldReportsReachEveryControllerAsANewHolderBegins(long seed, long eachMs)
+  void oldReportsReachEveryControllerAsANewOwnerStarts(long seed, long eachMs)
       throws MalformedException {
-    SimCluster cluster = held(seed);
+    SimCluster cluster = clusterWithDelayedReports(seed);
     cluster.clock.runUntil(20_000);
     cluster.delayedHeartbeats.copyForNextOwner(0.4, 90_000);
-    cluster.clock.after(5000, () -> changeHands(cluster, 6, eachMs));
+    cluster.clock.after(5000, () -> crashOwners(cluster, 6, eachMs));
     cluster.clock.after(
         12_000, () -> InjectedFault.busiestMachines(cluster).forEach(each -> each.hang(22_000)));
     cluster.clock.after(16_000, () -> InjectedFault.MACHINES_RESTART.inject(cluster, 0));
@@ -48,12 +48,12 @@
   /** Reports that are held up arrive at the new holder when it has answered their worker. */
   @ParameterizedTest
   @CsvSource({"1,6000", "2,11000", "3,16000", "4,25000"})
-  void heldUpReportsArriveOnceTheNewHolderHasActed(long seed, long eachMs)
+  void delayedReportsArriveAfterTheNewOwnerHasAnswered(long seed, long eachMs)
       throws MalformedException {
-    SimCluster cluster = held(seed);
+    SimCluster cluster = clusterWithDelayedReports(seed);
     cluster.clock.runUntil(20_000);
     cluster.delayedHeartbeats.delayForNextOwner(0.15, 100_000);
-    cluster.clock.after(5000, () -> changeHands(cluster, 5, eachMs));
+    cluster.clock.after(5000, () -> crashOwners(cluster, 5, eachMs));
     cluster.clock.after(
         4000, () -> InjectedFault.busiestMachines(cluster).forEach(each -> each.hang(22_000)));
     cluster.clock.after(8000, () -> cancelEveryNth(cluster, 4, 2500));
--- a/src/test/java/dunlincroft/sim/OldEndsTest.java
+++ b/src/test/java/dunlincroft/sim/EvictedFinalStatesTest.java
@@ -14,19 +14,19 @@
 import org.junit.jupiter.api.Test;
 
 /** Jobs that were over long ago, and of whose ends no controller remembers anything. */
-class OldEndsTest {
-  private static final int FORGOTTEN = 60;
+class EvictedFinalStatesTest {
+  private static final int EVICTED = 60;
 
   /** So long the controllers read, a few keys at a time. */
-  private static final long READ_MS = 120_000;
+  private static final long INITIAL_READ_MS = 120_000;
 
   /** The job's end as the state service keeps it, and as its user was told long ago. */
-  private static JobSpec ended(SimCluster cluster, int number) {
+  private static JobSpec createEndedJob(SimCluster cluster, int number) {
     String ref = String.format("run-old-%06d", number);
     String state = number % 2 == 0 ? "done" : "withdrawn";
-    JobSpec spec = RulesTest.simple(ref, "blue", 1, 1);
+    JobSpec spec = InvariantsTest.batchJob(ref, "blue", 1, 1);
     cluster.createRecord("d/jobs/" + ref, Cbor.map().put("status", state).put("done", 1));
-    if (number < FORGOTTEN) {
+    if (number < EVICTED) {
       cluster.checks.completedTasks.put(ref, Set.of(ref + "/0"));
       cluster.checks.cancelRequested.add(ref);
       cluster.checks.onAnswer(spec, 200, Cbor.map().put("status", state).put("done", 1), 0);
@@ -36,33 +36,34 @@
 
   /** Questions, submissions and cancellations at every node give the final state. */
   @Test
-  void oldEndsAreToldByEveryNode() throws MalformedException {
+  void everyNodeAnswersEvictedFinalStates() throws MalformedException {
     SimCluster cluster = new SimCluster(1, Policy.DEFAULT, Size.SMALL);
-    List<JobSpec> old = new ArrayList<>();
-    for (int i = 0; i < Constants.MAX_ENDED_JOBS_IN_MEMORY + FORGOTTEN; i++) {
-      JobSpec spec = ended(cluster, i);
-      if (i < FORGOTTEN) {
-        old.add(spec);
+    List<JobSpec> evictedJobs = new ArrayList<>();
+    for (int i = 0; i < Constants.MAX_ENDED_JOBS_IN_MEMORY + EVICTED; i++) {
+      JobSpec spec = createEndedJob(cluster, i);
+      if (i < EVICTED) {
+        evictedJobs.add(spec);
       }
     }
-    cluster.clock.runUntil(READ_MS);
-    int[] read = new int[1];
-    cluster.net.onSent = (path, body) -> read[0] += path.startsWith("/keys/d/jobs/run-old") ? 1 : 0;
-    int asked = 0;
-    for (int i = 0; i < old.size(); i++) {
-      JobSpec spec = old.get(i);
+    cluster.clock.runUntil(INITIAL_READ_MS);
+    int[] lookups = new int[1];
+    cluster.net.onSent =
+        (path, body) -> lookups[0] += path.startsWith("/keys/d/jobs/run-old") ? 1 : 0;
+    int jobQueries = 0;
+    for (int i = 0; i < evictedJobs.size(); i++) {
+      JobSpec spec = evictedJobs.get(i);
       for (int node = 0; node < cluster.nodeCount(); node++) {
         int each = node;
         cluster.clock.after(200L * i, () -> cluster.requestBursts.query(each, spec));
         cluster.clock.after(200L * i + 30, () -> cluster.requestBursts.submit(each, spec));
         cluster.clock.after(200L * i + 60, () -> cluster.requestBursts.cancel(each, spec));
       }
-      asked += cluster.nodeCount();
+      jobQueries += cluster.nodeCount();
     }
-    cluster.clock.runUntil(READ_MS + 30_000);
+    cluster.clock.runUntil(INITIAL_READ_MS + 30_000);
     assertThat(cluster.checks.violations).isEmpty();
-    assertThat(read[0]).as("ends that were looked up").isGreaterThan(2 * asked);
+    assertThat(lookups[0]).as("ends that were looked up").isGreaterThan(2 * jobQueries);
     assertThat(cluster.state.dataUnder("d/jobs/"))
-        .hasSize(Constants.MAX_ENDED_JOBS_IN_MEMORY + FORGOTTEN);
+        .hasSize(Constants.MAX_ENDED_JOBS_IN_MEMORY + EVICTED);
   }
 }
--- a/src/test/java/dunlincroft/sim/AliveTest.java
+++ b/src/test/java/dunlincroft/sim/FailureDetectionTest.java
@@ -20,41 +20,41 @@
  * What sounds alive and is not, and what is old: machines that do not hear, late copies of reports,
  * workers that begin anew under their old names, a controller alone with its workers.
  */
-class AliveTest {
-  private static final long AT_MS = 30_000;
+class FailureDetectionTest {
+  private static final long FAULT_AT_MS = 30_000;
 
   /** What a cluster must show once all is over. */
-  static void holds(SimCluster cluster) {
+  static void assertRecovered(SimCluster cluster) {
     cluster.clock.runUntil(600_000);
     assertThat(cluster.checks.violations).isEmpty();
     assertThat(cluster.checks.finalStates).as("every job ends").hasSize(cluster.submittedJobs());
-    Set<String> ghosts = new HashSet<>();
+    Set<String> unknownHosts = new HashSet<>();
     cluster
         .state
         .dataUnder("d/blocks/")
         .values()
-        .forEach(block -> block.path("hosts").fieldNames().forEachRemaining(ghosts::add));
-    ghosts.removeAll(cluster.cloud.machines.keySet());
-    assertThat(ghosts).as("machines in blocks that the cloud does not have").isEmpty();
+        .forEach(block -> block.path("hosts").fieldNames().forEachRemaining(unknownHosts::add));
+    unknownHosts.removeAll(cluster.cloud.machines.keySet());
+    assertThat(unknownHosts).as("machines in blocks that the cloud does not have").isEmpty();
   }
 
   static SimCluster busy(long seed, Size size) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, size);
-    cluster.checks.setFaultsEnd(AT_MS + 80_000);
+    cluster.checks.setFaultsEnd(FAULT_AT_MS + 80_000);
     Random random = new Random(seed);
     for (int i = 0; i < 80; i++) {
-      JobSpec spec = RulesTest.job(random, i);
+      JobSpec spec = InvariantsTest.randomJob(random, i);
       long cancelAfter = spec.isService() ? 200_000 : 0;
       cluster.clock.after(5000 + 200L * i, () -> cluster.submitAndFollow(spec, cancelAfter));
     }
-    cluster.clock.runUntil(AT_MS);
+    cluster.clock.runUntil(FAULT_AT_MS);
     return cluster;
   }
 
   /** Services with a replica on some of these machines, all of whose replicas run. */
-  static Set<String> whole(SimCluster cluster, List<SimWorker> on) {
+  static Set<String> fullyRunningServices(SimCluster cluster, List<SimWorker> workers) {
     Set<String> refs = new HashSet<>();
-    on.forEach(worker -> refs.addAll(services(worker)));
+    workers.forEach(worker -> refs.addAll(services(worker)));
     refs.removeIf(ref -> cluster.checks.running(ref) < cluster.specOf(ref).taskCount());
     return refs;
   }
@@ -69,7 +69,7 @@
     return refs;
   }
 
-  static List<SimWorker> fullest(SimCluster cluster, int number) {
+  static List<SimWorker> withMostServices(SimCluster cluster, int number) {
     return cluster.cloud.machines.values().stream()
         .sorted(Comparator.comparingInt(worker -> -services(worker).size()))
         .limit(number)
@@ -94,58 +94,62 @@
     "22,3,1,4",
     "22,3,2,4"
   })
-  void servicesOfDeafMachinesAreSoonElsewhere(long seed, int controllers, int down, double reportS)
+  void servicesRestartElsewhereWhenAcknowledgementsAreLost(
+      long seed, int controllers, int crashedControllers, double reportS)
       throws MalformedException {
     Size size = new Size(controllers, 60, 80, 8, 8, 80, reportS);
     SimCluster cluster = busy(seed, size);
-    int holder = cluster.nodeIndex(cluster.ownerName());
-    for (int node = 0, left = down; node < controllers; node++) {
-      if (node != holder && left-- > 0) {
+    int ownerNode = cluster.nodeIndex(cluster.ownerName());
+    for (int node = 0, remaining = crashedControllers; node < controllers; node++) {
+      if (node != ownerNode && remaining-- > 0) {
         cluster.crash(node, 90_000);
       }
     }
-    cluster.clock.runUntil(AT_MS + 3000);
-    List<SimWorker> deaf = fullest(cluster, 5);
-    Set<String> hit = whole(cluster, deaf);
+    cluster.clock.runUntil(FAULT_AT_MS + 3000);
+    List<SimWorker> unacknowledged = withMostServices(cluster, 5);
+    Set<String> affected = fullyRunningServices(cluster, unacknowledged);
     // The other team's limit is full: what it has lost room of waits for other work of its own.
-    hit.removeIf(ref -> !cluster.specOf(ref).team().equals("blue"));
-    deaf.forEach(worker -> worker.loseInbound(120_000));
-    assertThat(hit).hasSizeGreaterThan(5);
-    long third = 0;
-    while (third == 0) {
+    affected.removeIf(ref -> !cluster.specOf(ref).team().equals("blue"));
+    unacknowledged.forEach(worker -> worker.loseInbound(120_000));
+    assertThat(affected).hasSizeGreaterThan(5);
+    long thirdUnansweredAt = 0;
+    while (thirdUnansweredAt == 0) {
       cluster.clock.runUntil(cluster.clock.now() + 100);
-      if (deaf.stream()
+      if (unacknowledged.stream()
           .allMatch(worker -> worker.terminated || worker.unansweredHeartbeatTimes.size() >= 3)) {
-        third = cluster.clock.now();
+        thirdUnansweredAt = cluster.clock.now();
       }
     }
-    assertThat(cluster.ownerName()).as("no fault of the holder's").isEqualTo("n" + holder);
-    cluster.clock.runUntil(third + 5000);
-    int up = hit.stream().mapToInt(ref -> cluster.checks.runningElsewhere(ref, deaf)).sum();
-    int all = hit.stream().mapToInt(ref -> cluster.specOf(ref).taskCount()).sum();
-    assertThat((double) up / all).isGreaterThanOrEqualTo(0.95);
-    holds(cluster);
+    assertThat(cluster.ownerName()).as("no fault of the holder's").isEqualTo("n" + ownerNode);
+    cluster.clock.runUntil(thirdUnansweredAt + 5000);
+    int runningReplicas =
+        affected.stream()
+            .mapToInt(ref -> cluster.checks.runningElsewhere(ref, unacknowledged))
+            .sum();
+    int expectedReplicas = affected.stream().mapToInt(ref -> cluster.specOf(ref).taskCount()).sum();
+    assertThat((double) runningReplicas / expectedReplicas).isGreaterThanOrEqualTo(0.95);
+    assertRecovered(cluster);
   }
 
   /** What is over before it is acted on costs no machine. */
   @Test
-  void aMachineThatIsDeafForAMomentIsKept() throws MalformedException {
+  void briefInboundLossReleasesNoMachine() throws MalformedException {
     SimCluster cluster = busy(22, Size.FLEET);
-    List<SimWorker> deaf = fullest(cluster, 5);
-    deaf.forEach(worker -> worker.loseInbound(2500));
-    cluster.clock.runUntil(AT_MS + 25_000);
-    assertThat(deaf).noneMatch(worker -> worker.terminated);
-    holds(cluster);
+    List<SimWorker> unacknowledged = withMostServices(cluster, 5);
+    unacknowledged.forEach(worker -> worker.loseInbound(2500));
+    cluster.clock.runUntil(FAULT_AT_MS + 25_000);
+    assertThat(unacknowledged).noneMatch(worker -> worker.terminated);
+    assertRecovered(cluster);
   }
 
   /** Our own sending side is broken: nothing is released for it at once. */
   @Test
-  void whenNobodyHearsUsNoMachineIsToBlame() throws MalformedException {
+  void lossOfAllAcknowledgementsReleasesNoMachine() throws MalformedException {
     SimCluster cluster = busy(23, Size.FLEET);
     cluster.cloud.machines.values().forEach(worker -> worker.loseInbound(9000));
-    cluster.clock.runUntil(AT_MS + 14_000);
+    cluster.clock.runUntil(FAULT_AT_MS + 14_000);
     assertThat(cluster.cloud.tasksLostToRelease).isZero();
-    holds(cluster);
+    assertRecovered(cluster);
   }
 
   /**
@@ -154,13 +158,13 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void lateCopiesAreNoSignOfLife(long seed) throws MalformedException {
+  void delayedReportCopiesAreNoHeartbeat(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.checks.setFaultsEnd(180_000);
     cluster.heartbeatCopyShare = 0.3;
     Random random = new Random(seed);
     for (int i = 0; i < 80; i++) {
-      JobSpec spec = RulesTest.job(random, i);
+      JobSpec spec = InvariantsTest.randomJob(random, i);
       cluster.clock.after(
           5000 + 400L * i, () -> cluster.submitAndFollow(spec, spec.isService() ? 60_000 : 0));
     }
@@ -168,32 +172,32 @@
       long at = 25_000 + 20_000L * i;
       cluster.clock.after(at, () -> cluster.crashOwner(random.nextBoolean() ? 200 : 30_000));
       cluster.clock.after(
-          at + 5000, () -> fullest(cluster, 2).forEach(worker -> worker.restart(150)));
+          at + 5000, () -> withMostServices(cluster, 2).forEach(worker -> worker.restart(150)));
       cluster.clock.after(at + 10_000, () -> cluster.preemptSpotMachines(3));
     }
     cluster.clock.after(150_000, () -> cluster.heartbeatCopyShare = 0);
-    holds(cluster);
+    assertRecovered(cluster);
     assertThat(cluster.checks.returnedMachines).isEmpty();
   }
 
   /** A machine that is gone sounds alive at a new holder only to who believes copies. */
   @Test
-  void aNewHolderStartsNothingOnAMachineKnownFromCopiesAlone() throws MalformedException {
+  void newOwnerStartsNothingOnMachinesKnownOnlyFromReportCopies() throws MalformedException {
     SimCluster cluster = busy(24, Size.FLEET);
     cluster.heartbeatCopyShare = 1;
     cluster.maxCopyDelayMs = 15_000;
-    cluster.clock.runUntil(AT_MS + 20_000);
-    List<SimWorker> dead = fullest(cluster, 6);
+    cluster.clock.runUntil(FAULT_AT_MS + 20_000);
+    List<SimWorker> dead = withMostServices(cluster, 6);
     dead.forEach(SimWorker::terminate);
     cluster.crashOwner(60_000);
     int before = cluster.checks.starts;
-    JobSpec many = RulesTest.simple("run-many", "blue", 300, 1);
-    cluster.submitAndFollow(many, 0);
+    JobSpec largeJob = InvariantsTest.batchJob("run-many", "blue", 300, 1);
+    cluster.submitAndFollow(largeJob, 0);
     cluster.clock.runUntil(cluster.clock.now() + 12_000);
     assertThat(cluster.checks.starts).isGreaterThan(before);
     assertThat(cluster.checks.recordedTasksOn(dead, "run-many")).isZero();
     cluster.heartbeatCopyShare = 0;
-    holds(cluster);
+    assertRecovered(cluster);
   }
 
   /**
@@ -202,43 +206,44 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {-1, 0, 100, 300, 700, 1100, 1500, 2500})
-  void workersThatBeginAnewGoOn(long afterCrash) throws MalformedException {
+  void tasksOfRestartedWorkersRunAgain(long afterCrash) throws MalformedException {
     SimCluster cluster = busy(25, Size.FLEET);
     if (afterCrash >= 0) {
       cluster.crashOwner(afterCrash % 200 == 0 ? 200 : 30_000);
       cluster.clock.runUntil(cluster.clock.now() + afterCrash);
     }
-    List<SimWorker> anew = fullest(cluster, 6);
-    Set<String> hit = whole(cluster, anew);
-    anew.forEach(worker -> worker.restart(100 + cluster.random.nextInt(300)));
+    List<SimWorker> restarted = withMostServices(cluster, 6);
+    Set<String> affected = fullyRunningServices(cluster, restarted);
+    restarted.forEach(worker -> worker.restart(100 + cluster.random.nextInt(300)));
     cluster.clock.runUntil(cluster.clock.now() + 9000);
-    assertThat(hit).allMatch(ref -> cluster.checks.running(ref) == cluster.specOf(ref).taskCount());
-    assertThat(anew).as("kept").noneMatch(worker -> worker.terminated);
-    holds(cluster);
+    assertThat(affected)
+        .allMatch(ref -> cluster.checks.running(ref) == cluster.specOf(ref).taskCount());
+    assertThat(restarted).as("kept").noneMatch(worker -> worker.terminated);
+    assertRecovered(cluster);
   }
 
   /** The busiest loses state service and other controllers, not its workers and users. */
   @ParameterizedTest
   @ValueSource(longs = {6000, 25_000, 60_000})
-  void aControllerAloneWithItsWorkersHoldsNobodyUp(long ms) throws MalformedException {
+  void isolatedOwnerIsReplaced(long ms) throws MalformedException {
     SimCluster cluster = busy(26, Size.FLEET);
-    String alone = cluster.ownerName();
+    String isolated = cluster.ownerName();
     cluster.cutOwnerFromControllers(ms);
-    JobSpec late = RulesTest.simple("run-late", "blue", 200, 1);
+    JobSpec late = InvariantsTest.batchJob("run-late", "blue", 200, 1);
     // Its user comes to another one: connections to the one that is alone are reset only later.
-    cluster.pinConnection(late.ref(), (cluster.nodeIndex(alone) + 1) % cluster.nodeCount());
+    cluster.pinConnection(late.ref(), (cluster.nodeIndex(isolated) + 1) % cluster.nodeCount());
     cluster.clock.after(1000, () -> cluster.submitAndFollow(late, 0));
-    cluster.clock.runUntil(AT_MS + 9000);
-    assertThat(cluster.ownerName()).isNotEqualTo(alone);
+    cluster.clock.runUntil(FAULT_AT_MS + 9000);
+    assertThat(cluster.ownerName()).isNotEqualTo(isolated);
     assertThat(cluster.checks.running("run-late")).isPositive();
     assertThat(cluster.cloud.tasksLostToRelease).isZero();
-    holds(cluster);
+    assertRecovered(cluster);
   }
 
   /** Processes that are back at once, at every step of an election and of what follows. */
   @ParameterizedTest
   @ValueSource(longs = {0, 50, 150, 250, 400, 600, 900, 1300, 1800, 2600})
-  void backWithinAMomentInTheMiddleOfAnElection(long after) throws MalformedException {
+  void restartsDuringAnElection(long after) throws MalformedException {
     SimCluster cluster = busy(27, Size.FLEET);
     cluster.crashOwner(100 + cluster.random.nextInt(300));
     cluster.clock.runUntil(cluster.clock.now() + after);
@@ -247,21 +252,21 @@
     }
     cluster.clock.runUntil(cluster.clock.now() + after / 2);
     cluster.crashOwner(100);
-    fullest(cluster, 3).forEach(worker -> worker.restart(200));
+    withMostServices(cluster, 3).forEach(worker -> worker.restart(200));
     int before = cluster.checks.starts;
     cluster.clock.runUntil(cluster.clock.now() + 8000);
     assertThat(cluster.checks.starts).isGreaterThan(before);
     assertThat(cluster.cloud.tasksLostToRelease).isZero();
-    holds(cluster);
+    assertRecovered(cluster);
   }
 
   /** The check itself can fail: nobody is answered once the state service stays away. */
   @Test
-  void anUnansweredJobIsFound() throws MalformedException {
+  void unansweredJobIsReported() throws MalformedException {
     SimCluster cluster = busy(28, Size.FLEET);
-    cluster.checks.setFaultsEnd(AT_MS);
+    cluster.checks.setFaultsEnd(FAULT_AT_MS);
     cluster.state.outage(90_000);
-    cluster.clock.runUntil(AT_MS + 80_000);
+    cluster.clock.runUntil(FAULT_AT_MS + 80_000);
     assertThat(cluster.checks.violations).anyMatch(what -> what.contains("has no answer for"));
   }
 }
--- a/src/test/java/dunlincroft/sim/MeetingsTest.java
+++ b/src/test/java/dunlincroft/sim/FaultCombinationsTest.java
@@ -18,11 +18,11 @@
  * Each meeting of troubles that the operators name, brought about and shown to have happened; the
  * gap has a test of its own.
  */
-class MeetingsTest extends OverlappingFaultsScenario {
+class FaultCombinationsTest extends OverlappingFaultsScenario {
   /** When the state service begins to refuse the holder alone, and is down for all. */
-  private static final long REFUSED_MS = FAULTS_AT_MS + 4000;
+  private static final long OWNER_REFUSED_AT_MS = FAULTS_AT_MS + 4000;
 
-  private static final long DOWN_MS = FAULTS_AT_MS + 6500;
+  private static final long OUTAGE_AT_MS = FAULTS_AT_MS + 6500;
 
   /**
    * The holder is alone with its workers and users, some of which nobody else reaches, and jobs are
@@ -30,26 +30,27 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aDeposedHolderAnswersWorkersWhileJobsAreCancelledElsewhere(long seed)
+  void deposedOwnerAnswersWorkersWhileJobsAreCancelledElsewhere(long seed)
       throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.clock.runUntil(FAULTS_AT_MS);
-    String old = cluster.ownerName();
-    List<SimWorker> its = InjectedFault.busiestMachines(cluster);
-    its.forEach(worker -> cluster.cutWorkerFromNonOwners(worker, 70_000));
+    String oldOwner = cluster.ownerName();
+    List<SimWorker> ownWorkers = InjectedFault.busiestMachines(cluster);
+    ownWorkers.forEach(worker -> cluster.cutWorkerFromNonOwners(worker, 70_000));
     cluster.cutOwnerFromControllers(70_000);
-    while (cluster.ownerName().equals(old)) {
+    while (cluster.ownerName().equals(oldOwner)) {
       cluster.clock.runUntil(cluster.clock.now() + 50);
     }
-    long taken = cluster.clock.now();
-    assertThat(taken).isLessThan(FAULTS_AT_MS + 6000);
+    long takenOverAt = cluster.clock.now();
+    assertThat(takenOverAt).isLessThan(FAULTS_AT_MS + 6000);
     cancelEveryNth(cluster, 3, 300);
     cluster.clock.runUntil(FAULTS_AT_MS + 30_000);
-    assertThat(its)
+    assertThat(ownWorkers)
         .as("answered by the old one after the change of hands")
         .anyMatch(
             worker ->
-                worker.renewedBy == cluster.nodeIndex(old) && worker.renewedAt > taken + 1000);
+                worker.renewedBy == cluster.nodeIndex(oldOwner)
+                    && worker.renewedAt > takenOverAt + 1000);
     assertThat(cluster.checks.cancelConfirmedAt).hasSizeGreaterThan(10);
     runAndVerify(cluster);
   }
@@ -57,7 +58,7 @@
   /** Transactions without an answer are carried out seconds later, after newer ones. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void transactionsAreCarriedOutAfterNewerOnes(long seed) throws MalformedException {
+  void transactionsAreAppliedAfterNewerOnes(long seed) throws MalformedException {
     SimCluster cluster =
         busyCluster(seed, Policy.parse(seed % 2 == 0 ? "holder_machines = 12;" : ""));
     cluster.clock.runUntil(15_000);
@@ -77,21 +78,21 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {5, 6, 7, 8})
-  void aDeposedLeadersRentalsBecomeNoBlocks(long seed) throws MalformedException {
+  void rentalsOfADeposedLeaderBecomeNoBlocks(long seed) throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.cloud.answerDelayMs = 1500;
     for (int i = 0; i < 12; i++) {
-      JobSpec more = RulesTest.simple("run-more-" + i, "blue", 30, 2);
+      JobSpec more = InvariantsTest.batchJob("run-more-" + i, "blue", 30, 2);
       cluster.clock.after(FAULTS_AT_MS + 1000L * i, () -> cluster.submitAndFollow(more, 0));
     }
     cluster.clock.runUntil(FAULTS_AT_MS);
-    String old = cluster.state.dataUnder("d/leader/").get("one").path("name").asText();
+    String oldLeader = cluster.state.dataUnder("d/leader/").get("one").path("name").asText();
     cluster.cutZone(cluster.ownerZone(), 8000);
     cluster.delayWrites(0.5, 30_000);
     cluster.clock.runUntil(FAULTS_AT_MS + 8000);
     assertThat(cluster.state.dataUnder("d/leader/").get("one").path("name").asText())
         .as("another leads as the cloud answers")
-        .isNotEqualTo(old);
+        .isNotEqualTo(oldLeader);
     // The cut is over: what the cloud answers from here on arrives.
     int before = cluster.cloud.rentalsForDeposedLeaders;
     cluster.clock.runUntil(FAULTS_AT_MS + 30_000);
@@ -104,7 +105,7 @@
 
   /** The same with a state service that ignores all guards: the checks see what they prevent. */
   @Test
-  void withoutGuardsLateTransactionsBreakRules() throws MalformedException {
+  void withoutGuardsDelayedTransactionsAreReported() throws MalformedException {
     int broken = 0;
     for (long seed = 1; seed <= 12 && broken == 0; seed++) {
       jobs.clear();
@@ -126,20 +127,21 @@
    */
   @ParameterizedTest
   @CsvSource({"0,0", "1,120", "2,250", "3,400", "4,700", "0,1100", "1,1600", "2,2400"})
-  void allEndAndOneIsBackAndEndsAgain(int one, long after) throws MalformedException {
+  void allCrashAndTheFirstToRestartCrashesAgain(int firstRestarted, long afterMs)
+      throws MalformedException {
     SimCluster cluster = busyCluster(5);
     StartLog starts = new StartLog(cluster);
     cluster.clock.runUntil(FAULTS_AT_MS);
     cluster.duplicateHeartbeats(0.5, 60_000);
     for (int node = 0; node < cluster.nodeCount(); node++) {
-      cluster.crash(node, node == one ? 150 : 12_000);
+      cluster.crash(node, node == firstRestarted ? 150 : 12_000);
     }
     cancelEveryNth(cluster, 4, 500);
-    cluster.clock.runUntil(FAULTS_AT_MS + 150 + after);
-    cluster.crash(one, 200);
+    cluster.clock.runUntil(FAULTS_AT_MS + 150 + afterMs);
+    cluster.crash(firstRestarted, 200);
     cluster.clock.runUntil(FAULTS_AT_MS + 11_000);
-    assertThat(cluster.ownerName()).as("back within a second").isEqualTo("n" + one);
-    cluster.clock.after(3000, () -> cluster.crash(one, 30_000));
+    assertThat(cluster.ownerName()).as("back within a second").isEqualTo("n" + firstRestarted);
+    cluster.clock.after(3000, () -> cluster.crash(firstRestarted, 30_000));
     cluster.clock.after(4500, () -> cluster.crashOwner(200));
     cluster.clock.runUntil(FAULTS_AT_MS + 60_000);
     assertThat(sum(cluster, worker -> worker.staleCopies)).isGreaterThan(20);
@@ -150,16 +152,16 @@
   /** Reports of earlier sessions and attempts come after newer ones, at new holders. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void oldReportsComeAfterNewerOnes(long seed) throws MalformedException {
+  void oldReportsArriveAfterNewerOnes(long seed) throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.maxCopyDelayMs = 40_000;
     cluster.clock.runUntil(20_000);
     cluster.duplicateHeartbeats(0.6, 80_000);
     for (int i = 0; i < 5; i++) {
       long at = 5000 + 14_000L * i;
-      boolean atOnce = i % 2 == 0;
+      boolean restarts = i % 2 == 0;
       cluster.clock.after(at, () -> cluster.cutOwnerFromWorkers(23_000));
-      cluster.clock.after(at + 6000, () -> cluster.crashOwner(atOnce ? 200 : 9000));
+      cluster.clock.after(at + 6000, () -> cluster.crashOwner(restarts ? 200 : 9000));
       cluster.clock.after(
           at + 8000,
           () -> InjectedFault.busiestMachines(cluster).forEach(worker -> worker.hang(22_000)));
@@ -173,14 +175,14 @@
   /** Commands and their answers are held up for seconds, and the machines then go on. */
   @ParameterizedTest
   @CsvSource({"1,4000", "2,9000", "3,15000", "4,18500"})
-  void commandsAreHeldUp(long seed, long ms) throws MalformedException {
+  void commandsAreDelayed(long seed, long ms) throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     for (int i = 0; i < 4; i++) {
       long at = 15_000 + 16_000L * i;
-      boolean end = i % 2 == 1;
+      boolean restartsAtOnce = i % 2 == 1;
       cluster.clock.after(at, () -> InjectedFault.MACHINES_HANG.inject(cluster, ms));
       cluster.clock.after(at + 200, () -> cluster.cutOwnerFromWorkers(Math.min(ms, 7000)));
-      cluster.clock.after(at + 2500, () -> cluster.crashOwner(end ? 200 : 10_000));
+      cluster.clock.after(at + 2500, () -> cluster.crashOwner(restartsAtOnce ? 200 : 10_000));
     }
     cluster.clock.runUntil(15_000);
     cancelEveryNth(cluster, 3, 2000);
@@ -192,34 +194,34 @@
   /** Tasks of small jobs end far apart, with a change of the holder between them. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void smallJobsEndAcrossChangesOfTheHolder(long seed) throws MalformedException {
+  void smallJobsEndAcrossOwnerChanges(long seed) throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     StartLog starts = new StartLog(cluster);
-    Set<String> across =
+    Set<String> spanningJobs =
         jobs.stream()
             .filter(
                 spec -> spec.jobclass().equals(SimWorker.STAGGERED_CLASS) && spec.taskCount() > 1)
             .map(JobSpec::ref)
             .collect(Collectors.toSet());
-    int[] met = new int[1];
+    int[] partlyDone = new int[1];
     for (int i = 0; i < 8; i++) {
-      boolean atOnce = i % 2 == seed % 2;
+      boolean restarts = i % 2 == seed % 2;
       cluster.clock.after(
           18_000 + 8000L * i,
           () -> {
-            for (String ref : across) {
+            for (String ref : spanningJobs) {
               int done = cluster.checks.completedTasks.getOrDefault(ref, Set.of()).size();
-              met[0] += done > 0 && done < cluster.specOf(ref).taskCount() ? 1 : 0;
+              partlyDone[0] += done > 0 && done < cluster.specOf(ref).taskCount() ? 1 : 0;
             }
-            cluster.crashOwner(atOnce ? 200 : 20_000);
+            cluster.crashOwner(restarts ? 200 : 20_000);
           });
     }
     cluster.clock.runUntil(100_000);
-    assertThat(met[0]).as("jobs with some tasks done at a change").isGreaterThan(10);
+    assertThat(partlyDone[0]).as("jobs with some tasks done at a change").isGreaterThan(10);
     runAndVerify(cluster);
     assertThat(starts.doneCount()).isGreaterThan(100);
     assertThat(starts.startsOfDoneTasks).as("tasks recorded as done that start again").isEmpty();
-    assertThat(across)
+    assertThat(spanningJobs)
         .allSatisfy(
             ref ->
                 assertThat(cluster.checks.completedTasks.getOrDefault(ref, Set.of()))
@@ -233,55 +235,57 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void slowThenRefusedAloneThenDownForAll(long seed) throws MalformedException {
+  void stateServiceSlowThenRefusingTheOwnerThenDown(long seed) throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.checks.setFaultsEnd(FAULTS_AT_MS + 140_000);
     cluster.clock.runUntil(FAULTS_AT_MS);
-    String old = cluster.ownerName();
+    String oldOwner = cluster.ownerName();
     int[] written = new int[cluster.nodeCount()];
     cluster.net.transactionListeners.add(
         (from, body, status) -> {
-          boolean alone = cluster.clock.now() > REFUSED_MS + 500;
-          written[cluster.nodeIndexAt(from)] += alone && status == 200 ? 1 : 0;
+          boolean ownerRefused = cluster.clock.now() > OWNER_REFUSED_AT_MS + 500;
+          written[cluster.nodeIndexAt(from)] += ownerRefused && status == 200 ? 1 : 0;
         });
     cluster.slowStateService(30, 25_000);
     cluster.clock.after(4000, () -> cluster.refuseStateToOwner(20_000));
     cluster.clock.after(6500, () -> cluster.state.outage(70_000));
     cancelEveryNth(cluster, 2, 250);
-    cluster.clock.runUntil(DOWN_MS);
+    cluster.clock.runUntil(OUTAGE_AT_MS);
     assertThat(cluster.checks.cancelConfirmedAt).hasSizeGreaterThan(3);
-    assertThat(cluster.ownerName()).as("holds as the outage begins").isEqualTo(old);
+    assertThat(cluster.ownerName()).as("holds as the outage begins").isEqualTo(oldOwner);
     assertThat(cluster.checks.cancelConfirmedAt.values())
         .as("told while the holder is refused alone")
-        .anyMatch(at -> at > REFUSED_MS + 500 && at <= DOWN_MS);
-    assertThat(written[cluster.nodeIndex(old)]).as("written by the holder").isZero();
+        .anyMatch(at -> at > OWNER_REFUSED_AT_MS + 500 && at <= OUTAGE_AT_MS);
+    assertThat(written[cluster.nodeIndex(oldOwner)]).as("written by the holder").isZero();
     assertThat(IntStream.of(written).sum()).as("written by others").isPositive();
-    cluster.clock.runUntil(DOWN_MS + (long) (cluster.settings.maxCancellationS() * 1000) + 10_000);
+    cluster.clock.runUntil(
+        OUTAGE_AT_MS + (long) (cluster.settings.maxCancellationS() * 1000) + 10_000);
     assertThat(cluster.state.down).as("down for longer than cancel_s").isTrue();
     assertThat(cluster.cloud.machines.values())
         .as("answered by the holder in the outage")
         .anyMatch(
             worker ->
-                worker.renewedBy == cluster.nodeIndex(old) && worker.renewedAt > DOWN_MS + 1000);
+                worker.renewedBy == cluster.nodeIndex(oldOwner)
+                    && worker.renewedAt > OUTAGE_AT_MS + 1000);
     runAndVerify(cluster);
   }
 
   /** The leader ends while machines with long tasks can't be reached, or don't hear the new one. */
   @ParameterizedTest
   @CsvSource({"1,MACHINES_CUT_OFF", "2,MACHINES_DEAF", "3,MACHINES_CUT_OFF", "4,MACHINES_DEAF"})
-  void theLeaderEndsWhileMachinesCannotBeReached(long seed, InjectedFault trouble)
+  void leaderCrashesWhileMachinesAreUnreachable(long seed, InjectedFault trouble)
       throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.clock.runUntil(FAULTS_AT_MS);
-    String old = cluster.ownerName();
-    List<SimWorker> out = InjectedFault.busiestMachines(cluster);
-    long there = out.stream().mapToInt(worker -> worker.tasks.size()).sum();
-    assertThat(there).isGreaterThan(8);
+    String oldOwner = cluster.ownerName();
+    List<SimWorker> unreachable = InjectedFault.busiestMachines(cluster);
+    long tasksBefore = unreachable.stream().mapToInt(worker -> worker.tasks.size()).sum();
+    assertThat(tasksBefore).isGreaterThan(8);
     trouble.inject(cluster, 45_000);
     cluster.crashOwner(30_000);
     cluster.clock.runUntil(FAULTS_AT_MS + 3000);
-    assertThat(cluster.ownerName()).isNotEqualTo(old);
-    assertThat(out.stream().mapToInt(worker -> worker.tasks.size()).sum())
+    assertThat(cluster.ownerName()).isNotEqualTo(oldOwner);
+    assertThat(unreachable.stream().mapToInt(worker -> worker.tasks.size()).sum())
         .as("tasks still there as the new one begins")
         .isPositive();
     cancelEveryNth(cluster, 3, 200);
--- a/src/test/java/dunlincroft/sim/PairsTest.java
+++ b/src/test/java/dunlincroft/sim/FaultPairsTest.java
@@ -22,23 +22,24 @@
  * first one's beginning or end. More of them: {@code -Ddunlincroft.first=1000
  * -Ddunlincroft.pairdays=5000}.
  */
-class PairsTest {
+class FaultPairsTest {
   private static final int JOBS = 90;
-  private static final int PAIRS_A_DAY = 4;
-  private static final long FIRST_MS = 30_000;
-  private static final long PAIR_MS = 45_000;
-  private static final long OVER_MS = FIRST_MS + PAIRS_A_DAY * PAIR_MS + 40_000;
+  private static final int PAIRS_PER_DAY = 4;
+  private static final long FIRST_PAIR_MS = 30_000;
+  private static final long PAIR_INTERVAL_MS = 45_000;
+  private static final long FAULTS_OVER_MS =
+      FIRST_PAIR_MS + PAIRS_PER_DAY * PAIR_INTERVAL_MS + 40_000;
 
   /** A trouble at its time. */
-  private record Planned(long at, InjectedFault trouble, long ms) {
+  private record PlannedFault(long at, InjectedFault fault, long durationMs) {
     @Override
     public String toString() {
-      return trouble + " at " + at + " for " + ms;
+      return fault + " at " + at + " for " + durationMs;
     }
   }
 
   /** How often each pair was played. */
-  private static final Map<String, Integer> PLAYED = new TreeMap<>();
+  private static final Map<String, Integer> PLAYS_BY_PAIR = new TreeMap<>();
 
   /** Starts after a confirmed cancellation: in flight then, ordered later, and how much later. */
   private static int inFlight;
@@ -58,35 +59,38 @@
   }
 
   /** Each day takes the next pairs of all, in an order that goes through every one. */
-  private static List<Planned> plan(long seed) {
+  private static List<PlannedFault> plan(long seed) {
     Random random = new Random(seed * 7919);
     InjectedFault[] all = InjectedFault.values();
-    List<Planned> plan = new ArrayList<>();
-    for (int i = 0; i < PAIRS_A_DAY; i++) {
+    List<PlannedFault> plan = new ArrayList<>();
+    for (int i = 0; i < PAIRS_PER_DAY; i++) {
       // 251 and the number of pairs have no divisor in common.
-      long pair = (seed * PAIRS_A_DAY + i) * 251 % (all.length * all.length);
+      long pair = (seed * PAIRS_PER_DAY + i) * 251 % (all.length * all.length);
       InjectedFault one = all[(int) (pair / all.length)];
       InjectedFault two = all[(int) (pair % all.length)];
-      long at = FIRST_MS + i * PAIR_MS + random.nextInt(3000);
-      long ms = 2000 + random.nextInt(random.nextBoolean() ? 6000 : 26_000);
+      long at = FIRST_PAIR_MS + i * PAIR_INTERVAL_MS + random.nextInt(3000);
+      long durationMs = 2000 + random.nextInt(random.nextBoolean() ? 6000 : 26_000);
       boolean atItsEnd = random.nextBoolean();
-      long then = at + (atItsEnd ? ms - 1500 + random.nextInt(3000) : random.nextInt(3500));
-      plan.add(new Planned(at, one, ms));
-      plan.add(new Planned(then, two, 2000 + random.nextInt(20_000)));
+      long secondAt =
+          at + (atItsEnd ? durationMs - 1500 + random.nextInt(3000) : random.nextInt(3500));
+      plan.add(new PlannedFault(at, one, durationMs));
+      plan.add(new PlannedFault(secondAt, two, 2000 + random.nextInt(20_000)));
       if (random.nextInt(3) == 0) {
         InjectedFault three = all[random.nextInt(all.length)];
-        plan.add(new Planned(then + random.nextInt(4000), three, 2000 + random.nextInt(12_000)));
+        plan.add(
+            new PlannedFault(
+                secondAt + random.nextInt(4000), three, 2000 + random.nextInt(12_000)));
       }
-      PLAYED.merge(one + " " + two, 1, Integer::sum);
+      PLAYS_BY_PAIR.merge(one + " " + two, 1, Integer::sum);
     }
     return plan;
   }
 
   /** Jobs of one to three tasks that end far apart, long ones, services, arrays. */
-  static JobSpec job(Random random, int number) throws MalformedException {
+  static JobSpec randomJob(Random random, int number) throws MalformedException {
     int kind = random.nextInt(4);
     boolean daemon = kind == 0;
-    int few = 1 + random.nextInt(3);
+    int oneToThree = 1 + random.nextInt(3);
     return JobSpec.parse(
         Cbor.map()
             .put("ref", "run-" + number)
@@ -94,7 +98,7 @@
             .put("owner", random.nextInt(4) == 0 ? "red" : "blue")
             .put("shape", daemon ? "daemon" : "batch")
             .put("rank", daemon ? "prod" : random.nextBoolean() ? "normal" : "idle")
-            .put("pieces", kind == 3 ? 4 + random.nextInt(20) : few)
+            .put("pieces", kind == 3 ? 4 + random.nextInt(20) : oneToThree)
             .put("cpus", 1.0 + random.nextInt(3))
             .put("gpus", 0)
             .put("ramGb", 1.5)
@@ -109,20 +113,20 @@
             .put("dueS", 120.0));
   }
 
-  private static SimCluster play(long seed, List<Planned> plan) throws MalformedException {
+  private static SimCluster play(long seed, List<PlannedFault> plan) throws MalformedException {
     Policy policy = seed % 4 == 0 ? Policy.parse("holder_machines = 12;") : Policy.DEFAULT;
     SimCluster cluster = new SimCluster(seed, policy, seed % 3 == 0 ? Size.SMALL : Size.FLEET);
     Random random = new Random(seed);
-    cluster.checks.setFaultsEnd(OVER_MS);
+    cluster.checks.setFaultsEnd(FAULTS_OVER_MS);
     for (int i = 0; i < JOBS; i++) {
-      JobSpec spec = job(random, i);
+      JobSpec spec = randomJob(random, i);
       boolean cancelled = spec.isService() || random.nextInt(3) == 0;
       long after = cancelled ? 2000 + random.nextInt(120_000) : 0;
       cluster.clock.after(
           5000 + random.nextInt(190_000), () -> cluster.submitAndFollow(spec, after));
     }
-    for (Planned each : plan) {
-      cluster.clock.after(each.at, () -> each.trouble.inject(cluster, each.ms));
+    for (PlannedFault each : plan) {
+      cluster.clock.after(each.at, () -> each.fault.inject(cluster, each.durationMs));
     }
     cluster.clock.runUntil(700_000);
     return cluster;
@@ -138,22 +142,23 @@
   }
 
   /** Leaves out what is not needed for the day to break. */
-  private static List<Planned> shrink(long seed, List<Planned> plan) throws MalformedException {
-    List<Planned> least = new ArrayList<>(plan);
-    for (Planned each : plan) {
-      List<Planned> without = new ArrayList<>(least);
+  private static List<PlannedFault> shrink(long seed, List<PlannedFault> plan)
+      throws MalformedException {
+    List<PlannedFault> minimal = new ArrayList<>(plan);
+    for (PlannedFault each : plan) {
+      List<PlannedFault> without = new ArrayList<>(minimal);
       without.remove(each);
       if (!faults(play(seed, without)).isEmpty()) {
-        least = without;
+        minimal = without;
       }
     }
-    return least;
+    return minimal;
   }
 
   @ParameterizedTest
   @MethodSource("days")
-  void rulesHoldWhenTroublesMeet(long seed) throws MalformedException {
-    List<Planned> plan = plan(seed);
+  void invariantsHoldWhenFaultsOverlap(long seed) throws MalformedException {
+    List<PlannedFault> plan = plan(seed);
     SimCluster cluster = play(seed, plan);
     count(cluster.checks.startsAfterCancellation);
     List<String> faults = faults(cluster);
@@ -163,11 +168,11 @@
   }
 
   @AfterAll
-  static void saysWhatWasPlayed() {
+  static void printSummary() {
     int all = InjectedFault.values().length * InjectedFault.values().length;
     System.out.printf(
         "pairs of troubles: %d of %d played, %d times in all%n",
-        PLAYED.size(), all, PLAYED.values().stream().mapToInt(n -> n).sum());
+        PLAYS_BY_PAIR.size(), all, PLAYS_BY_PAIR.values().stream().mapToInt(n -> n).sum());
     System.out.printf(
         "starts after a confirmed cancellation: %d in flight, %d ordered later, by %d ms at most%n",
         inFlight, orderedLater, latestMs);
--- a/src/test/java/dunlincroft/sim/RefusalTest.java
+++ b/src/test/java/dunlincroft/sim/InvalidSubmissionTest.java
@@ -16,13 +16,13 @@
  * Jobs that fit no machine or lack a field are refused and the error says why, also while the list
  * of machine types is late; none is accepted, and no accepted job is refused.
  */
-class RefusalTest extends OverlappingFaultsScenario {
+class InvalidSubmissionTest extends OverlappingFaultsScenario {
   private static final int NO_ANSWER = 0;
   private static final long END_MS = 420_000;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
-  void oddRequestsBesideABusyDay(long seed) throws MalformedException {
+  void invalidRequestsAreRefusedUnderLoad(long seed) throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.clock.runUntil(10_000);
     cluster.unusualRequests.enableFor(100_000);
@@ -40,19 +40,19 @@
   /** No controller knows the types: what only they can tell is answered 503. */
   @ParameterizedTest
   @EnumSource(Infeasibility.class)
-  void whatCannotBeToldYetIsAnswered503(Infeasibility why) throws MalformedException {
+  void undecidableSubmissionsAreAnswered503(Infeasibility reason) throws MalformedException {
     SimCluster cluster = busyCluster(3);
     cluster.cutCloud(20_000);
     for (long at = 4000; at < 18_000; at += 2000) {
       cluster.clock.runUntil(at);
       for (int node = 0; node < cluster.nodeCount(); node++) {
-        cluster.unusualRequests.infeasible(node, why);
+        cluster.unusualRequests.infeasible(node, reason);
         cluster.unusualRequests.missingField(node, UnusualRequests.REQUIRED.get((int) (at / 2000)));
       }
     }
     assertThat(cluster.checks.accepted).as("accepted without any type").isEmpty();
     assertThat(cluster.unusualRequests.infeasible)
-        .containsOnlyKeys(why.dependsOnlyOnTeam() ? 422 : 503);
+        .containsOnlyKeys(reason.dependsOnlyOnTeam() ? 422 : 503);
     assertThat(cluster.unusualRequests.missingField).containsOnlyKeys(400);
     cluster.clock.runUntil(90_000);
     assertThat(cluster.checks.violations).isEmpty();
@@ -66,12 +66,13 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
-  void acceptedJobsAreKnownWhereTheTypesLag(long seed) throws MalformedException {
+  void acceptedJobsAreKnownWhereMachineTypesLag(long seed) throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.clock.runUntil(FAULTS_AT_MS);
     cluster.cloud.listedCpus = 2 * SimCluster.CPUS_PER_MACHINE;
     cluster.clock.runUntil(FAULTS_AT_MS + Constants.MACHINE_TYPES_REFRESH_MS + 2000);
-    JobSpec large = RulesTest.simple("run-large", "blue", 2, SimCluster.CPUS_PER_MACHINE + 4);
+    JobSpec large =
+        InvariantsTest.batchJob("run-large", "blue", 2, SimCluster.CPUS_PER_MACHINE + 4);
     String leader = cluster.state.dataUnder("d/leader/").get("one").path("name").asText();
     cluster.followWithoutSubmitting(large);
     cluster.requestBursts.cancelAtAcceptanceShare = 0;
@@ -108,12 +109,12 @@
    * none, answer a repeated submission with the job's state or 503, and polls with the state.
    */
   @Test
-  void acceptedJobsAreKnownWhereNoTypesAre() throws MalformedException {
-    int alone = 0;
-    for (int knows = 0; knows < 5; knows++) {
-      SimCluster cluster = busyCluster(knows + 1);
+  void acceptedJobsAreKnownWithoutMachineTypes() throws MalformedException {
+    int singleInformedDays = 0;
+    for (int informedNode = 0; informedNode < 5; informedNode++) {
+      SimCluster cluster = busyCluster(informedNode + 1);
       for (int node = 0; node < cluster.nodeCount(); node++) {
-        if (node != knows) {
+        if (node != informedNode) {
           cluster.cutFromCloud(node, 25_000);
         }
       }
@@ -124,17 +125,19 @@
         cluster.unusualRequests.infeasible(node, Infeasibility.TOO_MANY_CPUS);
       }
       cluster.clock.runUntil(17_000);
-      boolean others = cluster.unusualRequests.infeasible.getOrDefault(503, 0) == 4;
-      alone += others && accepted > 5 ? 1 : 0;
+      boolean othersUninformed = cluster.unusualRequests.infeasible.getOrDefault(503, 0) == 4;
+      singleInformedDays += othersUninformed && accepted > 5 ? 1 : 0;
       cluster.clock.runUntil(60_000);
       assertThat(cluster.checks.violations).isEmpty();
     }
-    assertThat(alone).as("days on which one node alone knew the types").isGreaterThan(2);
+    assertThat(singleInformedDays)
+        .as("days on which one node alone knew the types")
+        .isGreaterThan(2);
   }
 
   /** A list that promises too much lets jobs in that fit no machine: the checks see it. */
   @Test
-  void jobsThatFitNoMachineAreSeenWhenAccepted() throws MalformedException {
+  void acceptedJobsThatFitNoMachineAreReported() throws MalformedException {
     SimCluster cluster = busyCluster(1);
     cluster.cloud.listedCpus = 2 * SimCluster.CPUS_PER_MACHINE;
     cluster.clock.runUntil(10_000);
@@ -145,7 +148,7 @@
 
   /** What the checks ask of an answer to what must be refused. */
   @Test
-  void unclearRefusalsAreSeen() throws MalformedException {
+  void wrongRefusalsAreReported() throws MalformedException {
     SimCluster cluster = busyCluster(1);
     cluster.checks.onRefusal("run-a", "no owner", 400, 400, true);
     cluster.checks.onRefusal("run-b", "no owner", 400, 503, true);
--- a/src/test/java/dunlincroft/sim/InvariantChecks.java
+++ b/src/test/java/dunlincroft/sim/InvariantChecks.java
@@ -415,7 +415,7 @@
   /**
    * Notes machines that no longer exist, had left all blocks, and are in a block again. No rule
    * forbids this: a stale listing of the cloud still contains machines that another controller has
-   * just released. It must not happen through a lease, which {@link GhostBlocksTest} asserts.
+   * just released. It must not happen through a lease, which {@link LateLeaseWriteTest} asserts.
    */
   private void trackReturnedMachines(Set<String> inBlocks) {
     for (String host : inBlocks) {
--- a/src/test/java/dunlincroft/sim/RulesTest.java
+++ b/src/test/java/dunlincroft/sim/InvariantsTest.java
@@ -17,16 +17,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Plays generated histories against the real coordination code and checks every rule. */
-class RulesTest {
+class InvariantsTest {
   private static final long FAULTS_UNTIL_MS = 240_000;
   private static final long END_MS = 600_000;
 
   /** No generated fault lasts for longer; copies of reports come late for longer still. */
   private static final long LONGEST_FAULT_MS = 70_000;
 
-  static JobSpec job(Random random, int number) throws MalformedException {
+  static JobSpec randomJob(Random random, int number) throws MalformedException {
     boolean daemon = random.nextInt(3) == 0;
-    int pieces = daemon ? 1 + random.nextInt(3) : 1 + random.nextInt(25);
+    int tasks = daemon ? 1 + random.nextInt(3) : 1 + random.nextInt(25);
     return JobSpec.parse(
         Cbor.map()
             .put("ref", "run-" + number)
@@ -34,7 +34,7 @@
             .put("owner", random.nextBoolean() ? "red" : "blue")
             .put("shape", daemon ? "daemon" : "batch")
             .put("rank", daemon ? "prod" : random.nextBoolean() ? "normal" : "idle")
-            .put("pieces", pieces)
+            .put("pieces", tasks)
             .put("cpus", 1.0 + random.nextInt(3))
             .put("gpus", 0)
             .put("ramGb", 1.5)
@@ -64,7 +64,7 @@
     cluster.state.ignoreGuards = !guards;
     cluster.state.maxChanges = faults && seed % 2 == 0 ? 60 : 10_000;
     for (int i = 0; i < size.jobs(); i++) {
-      JobSpec spec = job(random, i);
+      JobSpec spec = randomJob(random, i);
       boolean broken = faults && !spec.isService() && random.nextInt(10) == 0;
       if (broken) {
         cluster.failingJobs.add(spec.ref());
@@ -90,18 +90,18 @@
     boolean many = random.nextBoolean();
     for (int i = 0; i < (many ? 24 : 1); i++) {
       JobSpec spec =
-          simple("run-g" + cluster.submittedJobs(), "blue", many ? 1 : 60, many ? 0.25 : 2);
+          batchJob("run-g" + cluster.submittedJobs(), "blue", many ? 1 : 60, many ? 0.25 : 2);
       cluster.clock.after(i * 100L, () -> cluster.submitAndFollow(spec, 0));
     }
   }
 
   /** A batch job without wishes. */
-  static JobSpec simple(String ref, String team, int pieces, double cpus) {
-    return simple(ref, team, pieces, cpus, 15, 0);
+  static JobSpec batchJob(String ref, String team, int tasks, double cpus) {
+    return batchJob(ref, team, tasks, cpus, 15, 0);
   }
 
-  static JobSpec simple(
-      String ref, String team, int pieces, double cpus, double expectS, double snapshotS) {
+  static JobSpec batchJob(
+      String ref, String team, int tasks, double cpus, double expectS, double snapshotS) {
     try {
       return JobSpec.parse(
           Cbor.map()
@@ -110,7 +110,7 @@
               .put("owner", team)
               .put("shape", "batch")
               .put("rank", "idle")
-              .put("pieces", pieces)
+              .put("pieces", tasks)
               .put("cpus", cpus)
               .put("gpus", 0)
               .put("ramGb", 0.5)
@@ -139,12 +139,12 @@
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void rulesHoldThroughOverlappingFaults(long seed) throws MalformedException {
+  void invariantsHoldThroughOverlappingFaults(long seed) throws MalformedException {
     SimCluster cluster = play(seed, true, true, Policy.DEFAULT);
-    everyRuleHolds(cluster);
+    assertInvariants(cluster);
   }
 
-  private static void everyRuleHolds(SimCluster cluster) {
+  private static void assertInvariants(SimCluster cluster) {
     assertThat(cluster.checks.violations).isEmpty();
     assertThat(cluster.checks.starts).isGreaterThan(cluster.size.jobs());
     assertThat(cluster.checks.accepted).hasSize(cluster.submittedJobs());
@@ -156,9 +156,9 @@
   /** Three lease holders at a handful of machines: blocks, shares and shards change hands. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void rulesHoldWithSeveralLeaseHolders(long seed) throws MalformedException {
+  void invariantsHoldWithSeveralOwners(long seed) throws MalformedException {
     SimCluster cluster = play(seed, true, true, Policy.parse("holder_machines = 1;"));
-    everyRuleHolds(cluster);
+    assertInvariants(cluster);
     assertThat(cluster.state.dataUnder("d/leases/").get("one").path("holders")).hasSize(3);
     assertThat(cluster.state.dataUnder("d/shares/").values())
         .as("shares were handed on")
@@ -168,7 +168,7 @@
   private static int pagesWritten;
 
   @AfterAll
-  static void theLogWentRound() {
+  static void assertLogWrappedAround() {
     assertThat(pagesWritten).isPositive();
   }
 
@@ -178,15 +178,15 @@
    */
   @ParameterizedTest
   @MethodSource("fewSeeds")
-  void rulesHoldWithFiveControllersAndSmallValues(long seed) throws MalformedException {
+  void invariantsHoldWithFiveControllersAndSmallValues(long seed) throws MalformedException {
     Policy policy = seed % 2 == 0 ? Policy.DEFAULT : Policy.parse("holder_machines = 8;");
     SimCluster cluster = play(seed, true, true, policy, Size.TIGHT);
-    everyRuleHolds(cluster);
+    assertInvariants(cluster);
     pagesWritten += cluster.state.pagesWritten;
   }
 
   @Test
-  void quietDayEndsEveryJob() throws MalformedException {
+  void everyJobEndsWithoutFaults() throws MalformedException {
     SimCluster cluster = play(100, false, true, Policy.DEFAULT);
     assertThat(cluster.checks.violations).isEmpty();
     assertThat(cluster.checks.finalStates).hasSize(Size.SMALL.jobs());
@@ -197,23 +197,23 @@
    * hired machines are, took them for dead, and released them with all that was on them.
    */
   @Test
-  void aHolderCutOffLosesNoMachine() throws MalformedException {
+  void partitionedOwnerLosesNoMachine() throws MalformedException {
     SimCluster cluster = busy();
     cluster.clock.after(30_000, () -> cluster.cutOwnerFromState(25_000));
-    losesNoMachine(cluster, 75_000);
+    assertNoMachineLost(cluster, 75_000);
   }
 
   private static SimCluster busy() throws MalformedException {
     SimCluster cluster = new SimCluster(7, Policy.DEFAULT, Size.SMALL);
     Random random = new Random(7);
     for (int i = 0; i < 200; i++) {
-      JobSpec spec = job(random, i);
+      JobSpec spec = randomJob(random, i);
       cluster.clock.after(5000 + 20 * i, () -> cluster.submitAndFollow(spec, 0));
     }
     return cluster;
   }
 
-  private static void losesNoMachine(SimCluster cluster, long until) {
+  private static void assertNoMachineLost(SimCluster cluster, long until) {
     cluster.clock.runUntil(until);
     assertThat(cluster.checks.violations).isEmpty();
     assertThat(cluster.cloud.machines).as("machines were hired").hasSizeGreaterThan(8);
@@ -226,10 +226,10 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1000, 5000, 8000, 15_000, 40_000})
-  void aHolderThatStoodStillLosesNoMachine(long ms) throws MalformedException {
+  void pausedOwnerLosesNoMachine(long ms) throws MalformedException {
     SimCluster cluster = busy();
     cluster.clock.after(30_000, () -> cluster.pauseOwner(ms));
-    losesNoMachine(cluster, 90_000);
+    assertNoMachineLost(cluster, 90_000);
   }
 
   /**
@@ -237,7 +237,7 @@
    * speak against it, its own silence does not.
    */
   @Test
-  void aMachineIsNotBlamedForOurPause() throws MalformedException {
+  void machineIsNotReleasedForAControllerPause() throws MalformedException {
     SimCluster cluster = busy();
     SimWorker[] silent = new SimWorker[1];
     cluster.clock.after(
@@ -249,12 +249,12 @@
     cluster.clock.after(31_200, () -> cluster.pauseAll(2800));
     cluster.clock.runUntil(37_000);
     assertThat(silent[0].terminated).isFalse();
-    losesNoMachine(cluster, 75_000);
+    assertNoMachineLost(cluster, 75_000);
   }
 
   /** A holder gone without a word: others start work soon. */
   @Test
-  void aSilentHolderIsSucceededSoon() throws MalformedException {
+  void silentOwnerIsReplacedSoon() throws MalformedException {
     SimCluster cluster = busy();
     cluster.clock.runUntil(30_000);
     cluster.crashOwnerSilently(70_000);
@@ -262,7 +262,7 @@
     int before = cluster.checks.starts;
     cluster.clock.runUntil(34_000);
     assertThat(cluster.checks.starts).as("starts within 4 s").isGreaterThan(before);
-    losesNoMachine(cluster, 75_000);
+    assertNoMachineLost(cluster, 75_000);
   }
 
   /**
@@ -270,16 +270,16 @@
    * few machines as it takes: freed in pieces on all of them it would be filled and freed again.
    */
   @Test
-  void roomForAGuaranteeIsMadeInOnePlace() throws MalformedException {
+  void guaranteedCapacityIsFreedOnFewMachines() throws MalformedException {
     SimCluster cluster = new SimCluster(5, Policy.DEFAULT, Size.SMALL);
     cluster.cloud.maxMachines = 5;
-    JobSpec guests = simple("run-guests", "blue", 200, 1, 300, 20);
-    JobSpec guaranteed = simple("run-red", "red", 5, 4, 15, 0);
-    cluster.clock.after(2000, () -> cluster.submitAndFollow(guests, 0));
+    JobSpec guestJob = batchJob("run-guests", "blue", 200, 1, 300, 20);
+    JobSpec guaranteedJob = batchJob("run-red", "red", 5, 4, 15, 0);
+    cluster.clock.after(2000, () -> cluster.submitAndFollow(guestJob, 0));
     cluster.clock.runUntil(30_000);
     int before = cluster.checks.starts;
     assertThat(before).isEqualTo(5 * SimCluster.CPUS_PER_MACHINE);
-    cluster.submitAndFollow(guaranteed, 0);
+    cluster.submitAndFollow(guaranteedJob, 0);
     cluster.clock.runUntil(60_000);
     assertThat(cluster.checks.completedTasks.get("run-red")).hasSize(5);
     assertThat(cluster.checks.stoppedTasks).isBetween(20, 24);
@@ -288,10 +288,10 @@
 
   /** Arrays that fail everywhere: known for it soon, whoever holds them, and no machine's fault. */
   @Test
-  void jobsThatFailEverywhereAreToldFromSickMachines() throws MalformedException {
+  void failingJobsAreDistinguishedFromFaultyMachines() throws MalformedException {
     SimCluster cluster = new SimCluster(3, Policy.DEFAULT, Size.SMALL);
     for (int i = 0; i < 12; i++) {
-      JobSpec spec = simple("run-" + i, i < 4 ? "red" : "blue", 30, 1);
+      JobSpec spec = batchJob("run-" + i, i < 4 ? "red" : "blue", 30, 1);
       boolean broken = i % 3 == 0;
       if (broken) {
         cluster.failingJobs.add(spec.ref());
@@ -308,7 +308,7 @@
 
   /** The checks can fail: some of these days break rules once the service ignores all guards. */
   @Test
-  void checksFindWhatBrokenGuardsLetThrough() throws MalformedException {
+  void checksReportViolationsWithoutGuards() throws MalformedException {
     List<String> broken = List.of();
     for (long seed = 1; broken.isEmpty() && seed <= 60; seed++) {
       broken = play(seed, true, false, Policy.DEFAULT).checks.violations;
--- a/src/test/java/dunlincroft/sim/GhostBlocksTest.java
+++ b/src/test/java/dunlincroft/sim/LateLeaseWriteTest.java
@@ -18,14 +18,14 @@
  * repetition made has been emptied and removed. It once brought the block back, with machines that
  * were gone.
  */
-class GhostBlocksTest extends OverlappingFaultsScenario {
-  private static final long LEASED_UNTIL_MS = 60_000;
+class LateLeaseWriteTest extends OverlappingFaultsScenario {
+  private static final long DELAYS_UNTIL_MS = 60_000;
 
   /** Late leases that came when one of their blocks had been there and gone. */
-  private int cameAfterRemoval;
+  private int lateAfterRemoval;
 
-  private long held(SimCluster cluster, ObjectNode body, double share, long ms) {
-    if (cluster.clock.now() > LEASED_UNTIL_MS || cluster.random.nextDouble() >= share) {
+  private long delayOf(SimCluster cluster, ObjectNode body, double share, long ms) {
+    if (cluster.clock.now() > DELAYS_UNTIL_MS || cluster.random.nextDouble() >= share) {
       return 0;
     }
     List<String> blocks = new ArrayList<>();
@@ -36,39 +36,39 @@
     cluster.clock.after(
         ms - 1,
         () ->
-            cameAfterRemoval +=
+            lateAfterRemoval +=
                 blocks.stream().anyMatch(cluster.state.removedKeys::contains) ? 1 : 0);
     return ms;
   }
 
   /** Each few seconds all machines of some blocks are found to have failed, and are returned. */
   private static void emptyBlocks(SimCluster cluster) {
-    Set<String> some = new HashSet<>();
+    Set<String> failedHosts = new HashSet<>();
     cluster.state.dataUnder("d/blocks/").values().stream()
         .limit(3)
-        .forEach(block -> block.path("hosts").fieldNames().forEachRemaining(some::add));
-    cluster.cloud.failedHosts.addAll(some);
-    if (cluster.clock.now() < LEASED_UNTIL_MS + 20_000) {
+        .forEach(block -> block.path("hosts").fieldNames().forEachRemaining(failedHosts::add));
+    cluster.cloud.failedHosts.addAll(failedHosts);
+    if (cluster.clock.now() < DELAYS_UNTIL_MS + 20_000) {
       cluster.clock.after(4000, () -> emptyBlocks(cluster));
     }
   }
 
   @ParameterizedTest
   @CsvSource({"1,25000,0", "2,40000,0", "3,40000,200", "4,60000,20000", "5,12000,0"})
-  void aLateLeaseBringsNoBlockBack(long seed, long lateMs, long leaderAwayMs)
+  void lateLeaseWriteDoesNotRecreateABlock(long seed, long lateMs, long leaderAwayMs)
       throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.net.writeDelayMs =
         (call, body) ->
             call.path().equals("/multi") && Kind.of(call, body, cluster.state) == Kind.NEW_BLOCK
-                ? held(cluster, body, 0.5, lateMs)
+                ? delayOf(cluster, body, 0.5, lateMs)
                 : 0;
     cluster.clock.after(12_000, () -> emptyBlocks(cluster));
     if (leaderAwayMs > 0) {
       cluster.clock.after(FAULTS_AT_MS, () -> cluster.crashOwner(leaderAwayMs));
     }
-    cluster.clock.runUntil(LEASED_UNTIL_MS + lateMs + 5000);
-    assertThat(cameAfterRemoval).as("late leases of blocks that are gone").isPositive();
+    cluster.clock.runUntil(DELAYS_UNTIL_MS + lateMs + 5000);
+    assertThat(lateAfterRemoval).as("late leases of blocks that are gone").isPositive();
     assertThat(cluster.checks.returnedMachines).isEmpty();
     runAndVerify(cluster);
     assertThat(cluster.checks.returnedMachines).isEmpty();
--- a/src/test/java/dunlincroft/sim/LeaderChangesTest.java
+++ b/src/test/java/dunlincroft/sim/LeaderChangesTest.java
@@ -10,35 +10,35 @@
 /** Leaders change ten times in two minutes, also inside an outage of the state service. */
 class LeaderChangesTest extends OverlappingFaultsScenario {
   private static final long TWO_MINUTES_MS = 120_000;
-  private static final long LOOK_MS = 100;
+  private static final long OBSERVE_INTERVAL_MS = 100;
 
   /** What an observer saw of the records and of the controllers that ended. */
-  private static final class Seen {
+  private static final class Observer {
     private final SimCluster cluster;
-    private JsonNode leader;
-    private JsonNode holder;
-    private int leaders;
-    private int holders;
-    private int endsInOutage;
+    private JsonNode leaderRecord;
+    private JsonNode ownerRecord;
+    private int leaderChanges;
+    private int ownerChanges;
+    private int crashesInOutage;
 
-    Seen(SimCluster cluster) {
+    Observer(SimCluster cluster) {
       this.cluster = cluster;
     }
 
-    void look(long untilMs) {
-      JsonNode leads = cluster.state.dataUnder("d/leader/").get("one");
-      leaders += leads != null && !leads.equals(leader) ? 1 : 0;
-      leader = leads != null ? leads : leader;
-      JsonNode holds = cluster.state.dataUnder("d/shards/").get("n0");
-      holders += holds != null && !holds.equals(holder) ? 1 : 0;
-      holder = holds != null ? holds : holder;
+    void observe(long untilMs) {
+      JsonNode currentLeader = cluster.state.dataUnder("d/leader/").get("one");
+      leaderChanges += currentLeader != null && !currentLeader.equals(leaderRecord) ? 1 : 0;
+      leaderRecord = currentLeader != null ? currentLeader : leaderRecord;
+      JsonNode currentOwner = cluster.state.dataUnder("d/shards/").get("n0");
+      ownerChanges += currentOwner != null && !currentOwner.equals(ownerRecord) ? 1 : 0;
+      ownerRecord = currentOwner != null ? currentOwner : ownerRecord;
       if (cluster.clock.now() < untilMs) {
-        cluster.clock.after(LOOK_MS, () -> look(untilMs));
+        cluster.clock.after(OBSERVE_INTERVAL_MS, () -> observe(untilMs));
       }
     }
 
-    void end(long awayMs) {
-      endsInOutage += cluster.state.down ? 1 : 0;
+    void crashBusiest(long awayMs) {
+      crashesInOutage += cluster.state.down ? 1 : 0;
       cluster.crash(cluster.busiestNode(), awayMs);
     }
   }
@@ -58,16 +58,18 @@
     SimCluster cluster = busyCluster(seed);
     cluster.checks.setFaultsEnd(FAULTS_AT_MS + TWO_MINUTES_MS + 20_000);
     cluster.clock.runUntil(FAULTS_AT_MS);
-    Seen seen = new Seen(cluster);
-    seen.look(FAULTS_AT_MS + TWO_MINUTES_MS);
+    Observer observer = new Observer(cluster);
+    observer.observe(FAULTS_AT_MS + TWO_MINUTES_MS);
     for (long at = 0; at < TWO_MINUTES_MS; at += everyMs) {
-      cluster.clock.after(at, () -> seen.end(awayMs));
+      cluster.clock.after(at, () -> observer.crashBusiest(awayMs));
     }
     cluster.clock.after(25_000, () -> cluster.state.outage(outageMs));
     cancelEveryNth(cluster, 3, 3000);
     cluster.clock.runUntil(FAULTS_AT_MS + TWO_MINUTES_MS);
-    assertThat(Math.max(seen.leaders, seen.holders)).as("changes").isGreaterThan(10);
-    assertThat(seen.endsInOutage)
+    assertThat(Math.max(observer.leaderChanges, observer.ownerChanges))
+        .as("changes")
+        .isGreaterThan(10);
+    assertThat(observer.crashesInOutage)
         .as("ends inside the outage")
         .isGreaterThanOrEqualTo((int) (outageMs / everyMs / 2));
     runAndVerify(cluster);
--- a/src/test/java/dunlincroft/sim/FastBootTest.java
+++ b/src/test/java/dunlincroft/sim/LeaderCrashDuringProvisioningTest.java
@@ -18,7 +18,7 @@
  * at each step of that. No machine stays without a block, none is in two, none of its tasks runs
  * twice, and jobs go on.
  */
-class FastBootTest extends OverlappingFaultsScenario {
+class LeaderCrashDuringProvisioningTest extends OverlappingFaultsScenario {
   /** Where in the life of a new machine the leader ends. */
   private enum Step {
     RENTED,
@@ -27,22 +27,22 @@
   }
 
   /** A machine that is rented stays without a block for no longer than a change of leaders. */
-  private static final long ADOPTED_MS = 45_000;
+  private static final long MAX_UNLEASED_MS = 45_000;
 
   private SimCluster cluster;
 
   /** Since when a machine is rented and in no block. */
-  private final Map<String, Long> homeless = new HashMap<>();
+  private final Map<String, Long> unleasedSince = new HashMap<>();
 
-  private final Set<String> known = new HashSet<>();
+  private final Set<String> initialHosts = new HashSet<>();
   private final Set<String> leaked = new HashSet<>();
 
   /** Leaders that ended at the step, and machines that were at it then. */
-  private int met;
+  private int leaderCrashes;
 
-  private long nextAt;
+  private long nextCrashAt;
 
-  private Set<String> inBlocks() {
+  private Set<String> leasedHosts() {
     Set<String> hosts = new HashSet<>();
     for (JsonNode block : cluster.state.dataUnder("d/blocks/").values()) {
       block.path("hosts").fieldNames().forEachRemaining(hosts::add);
@@ -55,7 +55,7 @@
     return leader == null ? null : leader.path("name").asText();
   }
 
-  private boolean at(Step step, SimWorker worker, boolean recorded) {
+  private boolean hasReached(Step step, SimWorker worker, boolean recorded) {
     return switch (step) {
       case RENTED -> !recorded;
       case RECORDED -> recorded && worker.firstContactedNode < 0;
@@ -64,33 +64,33 @@
   }
 
   /** Ends the leader whenever a new machine is at the step, for a while not again. */
-  private void watch(Step step, long awayMs, long untilMs) {
-    Set<String> inBlocks = inBlocks();
+  private void crashLeaderAtStep(Step step, long awayMs, long untilMs) {
+    Set<String> leasedHosts = leasedHosts();
     long now = cluster.clock.now();
     for (SimWorker worker : cluster.cloud.machines.values()) {
-      boolean recorded = inBlocks.contains(worker.host);
+      boolean recorded = leasedHosts.contains(worker.host);
       if (recorded) {
-        homeless.remove(worker.host);
-      } else if (now - homeless.computeIfAbsent(worker.host, host -> now) > ADOPTED_MS) {
+        unleasedSince.remove(worker.host);
+      } else if (now - unleasedSince.computeIfAbsent(worker.host, host -> now) > MAX_UNLEASED_MS) {
         leaked.add(worker.host);
       }
       String leader = leader();
-      if (now >= FAULTS_AT_MS && now < untilMs && now >= nextAt && leader != null) {
-        if (!known.contains(worker.host) && at(step, worker, recorded)) {
-          met++;
-          nextAt = now + 9000;
+      if (now >= FAULTS_AT_MS && now < untilMs && now >= nextCrashAt && leader != null) {
+        if (!initialHosts.contains(worker.host) && hasReached(step, worker, recorded)) {
+          leaderCrashes++;
+          nextCrashAt = now + 9000;
           cluster.crash(cluster.nodeIndex(leader), awayMs);
         }
       }
       if (step != Step.STARTED || worker.tasks.isEmpty()) {
         // Machines from before are no newcomers.
         if (now < FAULTS_AT_MS) {
-          known.add(worker.host);
+          initialHosts.add(worker.host);
         }
       }
     }
-    homeless.keySet().retainAll(cluster.cloud.machines.keySet());
-    cluster.clock.after(20, () -> watch(step, awayMs, untilMs));
+    unleasedSince.keySet().retainAll(cluster.cloud.machines.keySet());
+    cluster.clock.after(20, () -> crashLeaderAtStep(step, awayMs, untilMs));
   }
 
   @ParameterizedTest
@@ -102,31 +102,31 @@
     "STARTED,8,15000",
     "STARTED,9,200"
   })
-  void theLeaderEndsAsNewMachinesComeUp(Step step, long seed, long awayMs)
+  void leaderCrashesAsNewMachinesComeUp(Step step, long seed, long awayMs)
       throws MalformedException {
     cluster = busyCluster(seed, Policy.parse(seed % 2 == 0 ? "holder_machines = 12;" : ""));
     cluster.cloud.bootMs = seed % 2 == 0 ? 1800 : 600;
     cluster.cloud.answerDelayMs = step != Step.RECORDED && seed % 3 == 0 ? 1000 : 0;
     for (int i = 0; i < 12; i++) {
-      JobSpec more = RulesTest.simple("run-more-" + i, "blue", 16, 8);
+      JobSpec more = InvariantsTest.batchJob("run-more-" + i, "blue", 16, 8);
       long at = FAULTS_AT_MS - 2000 + 8000L * i;
       cluster.clock.after(at, () -> cluster.submitAndFollow(more, 0));
       cluster.clock.after(at + 4000, () -> cluster.preemptSpotMachines(4));
     }
-    watch(step, awayMs, FAULTS_AT_MS + 85_000);
+    crashLeaderAtStep(step, awayMs, FAULTS_AT_MS + 85_000);
     cluster.clock.runUntil(FAULTS_AT_MS - 5000);
     cluster.delayWrites(0.35, 90_000);
     cancelEveryNth(cluster, 4, 2500);
     int before = cluster.cloud.rentedMachines();
     cluster.clock.runUntil(FAULTS_AT_MS + 90_000);
-    assertThat(met).as("ends of leaders at this step of a new machine").isGreaterThan(2);
+    assertThat(leaderCrashes).as("ends of leaders at this step of a new machine").isGreaterThan(2);
     assertThat(cluster.cloud.rentedMachines() - before)
         .as("machines rented meanwhile")
         .isGreaterThan(30);
     assertThat(cluster.net.executedAfterNewer).as("writes carried out late").isGreaterThan(20);
     runUntilDoneAndVerify(cluster);
     assertThat(leaked).as("machines without a block").isEmpty();
-    assertThat(inBlocks()).as("blocks and machines").isEqualTo(cluster.cloud.machines.keySet());
+    assertThat(leasedHosts()).as("blocks and machines").isEqualTo(cluster.cloud.machines.keySet());
     assertThat(cluster.cloud.unusedMachines())
         .as("machines rented in vain of %d", cluster.cloud.rentedMachines())
         .isLessThan(cluster.cloud.rentedMachines() / 6);
--- a/src/test/java/dunlincroft/sim/LongAbsenceTest.java
+++ b/src/test/java/dunlincroft/sim/LeaseExpiryTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A zone, or all controllers, are away for longer than a lease. */
-class LongAbsenceTest extends OverlappingFaultsScenario {
+class LeaseExpiryTest extends OverlappingFaultsScenario {
   private static final long LONGER_THAN_A_LEASE_MS = 33_000;
 
   private static List<SimWorker> inside(SimCluster cluster, String zone) {
@@ -34,23 +34,24 @@
     "2, false, 60000",
     "4, false, 45000"
   })
-  void aZoneIsCutOff(long seed, boolean holderInside, long ms) throws MalformedException {
+  void zoneIsCutOffBeyondTheLease(long seed, boolean ownerInside, long ms)
+      throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.clock.runUntil(FAULTS_AT_MS);
-    String zone = holderInside ? cluster.ownerZone() : cluster.zoneWithoutOwner();
-    String old = cluster.ownerName();
+    String zone = ownerInside ? cluster.ownerZone() : cluster.zoneWithoutOwner();
+    String oldOwner = cluster.ownerName();
     List<SimWorker> inside = inside(cluster, zone);
-    int there = inside.stream().mapToInt(worker -> worker.tasks.size()).sum();
-    assertThat(there).as("tasks inside").isGreaterThan(3);
+    int tasksInside = inside.stream().mapToInt(worker -> worker.tasks.size()).sum();
+    assertThat(tasksInside).as("tasks inside").isGreaterThan(3);
     int starts = cluster.checks.starts;
     cluster.cutZone(zone, ms);
     cancelEveryNth(cluster, 2, 300);
     for (int i = 0; i < 12; i++) {
-      JobSpec more = RulesTest.simple("run-more-" + i, "blue", 6, 2);
+      JobSpec more = InvariantsTest.batchJob("run-more-" + i, "blue", 6, 2);
       cluster.clock.after(1000L * i, () -> cluster.submitAndFollow(more, 0));
     }
     cluster.clock.runUntil(FAULTS_AT_MS + ms - 500);
-    assertThat(cluster.ownerName().equals(old)).as("held outside").isEqualTo(!holderInside);
+    assertThat(cluster.ownerName().equals(oldOwner)).as("held outside").isEqualTo(!ownerInside);
     assertThat(cluster.checks.starts).as("jobs go on outside").isGreaterThan(starts + 20);
     assertThat(cluster.checks.cancelConfirmedAt).hasSizeGreaterThan(10);
     assertThat(inside)
@@ -62,7 +63,8 @@
   /** All are away, return at once or one by one, and find that all sessions are new. */
   @ParameterizedTest
   @CsvSource({"1, 0", "2, 0", "3, 4000", "4, 9000", "5, 300"})
-  void allControllersAreAway(long seed, long oneByOneMs) throws MalformedException {
+  void allControllersAreDownBeyondTheLease(long seed, long restartIntervalMs)
+      throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.checks.setFaultsEnd(FAULTS_AT_MS + 110_000);
     cluster.clock.runUntil(FAULTS_AT_MS);
@@ -74,7 +76,7 @@
     int running = sum(cluster, worker -> worker.tasks.size());
     assertThat(running).isGreaterThan(20);
     for (int node = 0; node < cluster.nodeCount(); node++) {
-      cluster.crash(node, LONGER_THAN_A_LEASE_MS + node * oneByOneMs);
+      cluster.crash(node, LONGER_THAN_A_LEASE_MS + node * restartIntervalMs);
     }
     cluster.clock.runUntil(FAULTS_AT_MS + LONGER_THAN_A_LEASE_MS);
     assertThat(cluster.checks.tasksLostToLease).as("tasks ended by leases").isGreaterThan(15);
--- a/src/test/java/dunlincroft/sim/LostHandsTest.java
+++ b/src/test/java/dunlincroft/sim/LostOwnershipResponsesTest.java
@@ -14,7 +14,7 @@
  * Answers are lost to what makes controllers, leaders and holders, and to what moves machines and
  * shares between them: whoever won finds out by the records, and acts.
  */
-class LostHandsTest extends OverlappingFaultsScenario {
+class LostOwnershipResponsesTest extends OverlappingFaultsScenario {
   @ParameterizedTest
   @CsvSource({
     "HOLD,1,10",
@@ -31,11 +31,11 @@
     "RELEASE,15,5",
     "TYPES,16,1"
   })
-  void whoeverWonFindsOut(Kind kind, long seed, int least) throws MalformedException {
+  void winnerRecognizesItsOwnWrite(Kind kind, long seed, int least) throws MalformedException {
     // Blocks move seldom: with more holders they do more often.
-    int holderMachines = kind == Kind.BLOCK_MOVED ? 5 : 12;
+    int machinesPerOwner = kind == Kind.BLOCK_MOVED ? 5 : 12;
     SimCluster cluster =
-        busyCluster(seed, Policy.parse("holder_machines = " + holderMachines + ";"));
+        busyCluster(seed, Policy.parse("holder_machines = " + machinesPerOwner + ";"));
     cluster.loseAnswers(EnumSet.of(kind), 0.7, 85_000);
     for (int i = 0; i < 5; i++) {
       long awayMs = i % 2 == 1 ? 14_000 : 200;
@@ -55,14 +55,14 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void whoTookAShardKnowsFromWhom(long seed) throws MalformedException {
-    long usual = tasksReleased(zoneCutAtATakeover(seed, false));
+  void newOwnerKnowsThePreviousOwner(long seed) throws MalformedException {
+    long withoutLoss = tasksReleased(cutZoneDuringTakeover(seed, false));
     jobs.clear();
-    SimCluster cluster = zoneCutAtATakeover(seed, true);
+    SimCluster cluster = cutZoneDuringTakeover(seed, true);
     assertThat(cluster.lostAnswers.lost(Kind.SHARD)).as("answers lost").isPositive();
     assertThat(tasksReleased(cluster))
-        .as("tasks lost by release, without lost answers %d", usual)
-        .isLessThanOrEqualTo(usual + 3);
+        .as("tasks lost by release, without lost answers %d", withoutLoss)
+        .isLessThanOrEqualTo(withoutLoss + 3);
     runUntilDoneAndVerify(cluster);
   }
 
@@ -70,16 +70,17 @@
     return cluster.cloud.tasksLostToRelease;
   }
 
-  private SimCluster zoneCutAtATakeover(long seed, boolean answerLost) throws MalformedException {
+  private SimCluster cutZoneDuringTakeover(long seed, boolean responseLost)
+      throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.clock.runUntil(FAULTS_AT_MS);
-    String old = cluster.ownerName();
-    if (answerLost) {
+    String oldOwner = cluster.ownerName();
+    if (responseLost) {
       cluster.loseAnswers(EnumSet.of(Kind.SHARD), 1, 15_000);
     }
     cluster.cutZone(cluster.ownerZone(), 30_000);
     cluster.clock.runUntil(FAULTS_AT_MS + 33_000);
-    assertThat(cluster.ownerName()).as("another holds the shard").isNotEqualTo(old);
+    assertThat(cluster.ownerName()).as("another holds the shard").isNotEqualTo(oldOwner);
     return cluster;
   }
 }
--- a/src/test/java/dunlincroft/sim/LostAnswersTest.java
+++ b/src/test/java/dunlincroft/sim/LostWriteResponsesTest.java
@@ -22,29 +22,29 @@
  * users ask all nodes, controllers crash and machines hang. Its sender finds out that it was its
  * own.
  */
-class LostAnswersTest extends OverlappingFaultsScenario {
-  private static final long FROM_MS = 4000;
-  private static final long FOR_MS = 80_000;
+class LostWriteResponsesTest extends OverlappingFaultsScenario {
+  private static final long FAULT_FROM_MS = 4000;
+  private static final long FAULT_DURATION_MS = 80_000;
 
   /** Jobs about which every node was asked at once and some answered. */
-  private final Set<String> lookedAt = new HashSet<>();
+  private final Set<String> queriedJobs = new HashSet<>();
 
   /** Users ask all nodes about some jobs at once, and repeat the submissions of some. */
-  private void look(SimCluster cluster, Random random) {
+  private void queryAllNodes(SimCluster cluster, Random random) {
     for (int i = 0; i < 3; i++) {
       JobSpec spec = jobs.get(random.nextInt(jobs.size()));
-      boolean again = random.nextInt(3) == 0;
+      boolean resubmit = random.nextInt(3) == 0;
       for (int node = 0; node < cluster.nodeCount(); node++) {
         if (cluster.checks.accepted.contains(spec.ref())) {
-          ask(cluster, spec, node, again);
+          ask(cluster, spec, node, resubmit);
         }
       }
     }
-    cluster.clock.after(500, () -> look(cluster, random));
+    cluster.clock.after(500, () -> queryAllNodes(cluster, random));
   }
 
   /** Each job is sent to all nodes within milliseconds; one alone accepts it. */
-  private void submitEverywhere(SimCluster cluster) {
+  private void submitToAllNodes(SimCluster cluster) {
     for (JobSpec spec : jobs) {
       if (cluster.specOf(spec.ref()) != null && !cluster.checks.accepted.contains(spec.ref())) {
         for (int node = 0; node < cluster.nodeCount(); node++) {
@@ -52,22 +52,22 @@
         }
       }
     }
-    cluster.clock.after(500, () -> submitEverywhere(cluster));
+    cluster.clock.after(500, () -> submitToAllNodes(cluster));
   }
 
-  private void ask(SimCluster cluster, JobSpec spec, int node, boolean again) {
+  private void ask(SimCluster cluster, JobSpec spec, int node, boolean resubmit) {
     long sentAt = cluster.clock.now();
-    String path = "/submissions" + (again ? "" : "/" + spec.ref());
-    byte[] body = again ? Cbor.bytes(spec.toNode()) : null;
+    String path = "/submissions" + (resubmit ? "" : "/" + spec.ref());
+    byte[] body = resubmit ? Cbor.bytes(spec.toNode()) : null;
     cluster.net.call(
         "user",
-        new Env.Call(cluster.nodeAddress(node), again ? "POST" : "GET", path, body, 2000),
+        new Env.Call(cluster.nodeAddress(node), resubmit ? "POST" : "GET", path, body, 2000),
         reply -> {
           if (reply.body().length > 0) {
             try {
               ObjectNode map = Cbor.parse(reply.body());
               cluster.checks.onAnswer(spec, reply.status(), map.path("status").asText(), sentAt);
-              lookedAt.add(spec.ref());
+              queriedJobs.add(spec.ref());
             } catch (MalformedException e) {
               throw new IllegalStateException(e);
             }
@@ -76,15 +76,15 @@
   }
 
   private SimCluster cluster(long seed, Kind kind) throws MalformedException {
-    boolean pages = kind == Kind.PAGE || kind == Kind.PAGE_REMOVAL;
+    boolean withPages = kind == Kind.PAGE || kind == Kind.PAGE_REMOVAL;
     SimCluster cluster =
-        pages
+        withPages
             ? new SimCluster(seed, Policy.DEFAULT, Size.TIGHT)
             : busyCluster(seed, Policy.parse("holder_machines = 12;"));
-    if (pages) {
+    if (withPages) {
       cluster.checks.setFaultsEnd(FAULTS_AT_MS + 90_000);
       for (int i = 0; i < 40; i++) {
-        JobSpec spec = RulesTest.simple("run-" + i, "blue", 250, 0.5);
+        JobSpec spec = InvariantsTest.batchJob("run-" + i, "blue", 250, 0.5);
         jobs.add(spec);
         cluster.clock.after(4000 + 1000L * i, () -> cluster.submitAndFollow(spec, 0));
       }
@@ -103,13 +103,13 @@
     "SWEEP,11,3",
     "FENCE,13,2"
   })
-  void itsSenderFindsOutThatItWasItsOwn(Kind kind, long seed, int least) throws MalformedException {
+  void senderRecognizesItsOwnWrite(Kind kind, long seed, int least) throws MalformedException {
     SimCluster cluster = cluster(seed, kind);
-    cluster.clock.runUntil(FROM_MS);
-    cluster.loseAnswers(EnumSet.of(kind), 0.6, FOR_MS);
-    look(cluster, new Random(seed));
+    cluster.clock.runUntil(FAULT_FROM_MS);
+    cluster.loseAnswers(EnumSet.of(kind), 0.6, FAULT_DURATION_MS);
+    queryAllNodes(cluster, new Random(seed));
     if (kind == Kind.ACCEPTANCE) {
-      cluster.clock.after(3, () -> submitEverywhere(cluster));
+      cluster.clock.after(3, () -> submitToAllNodes(cluster));
     }
     for (int i = 0; i < 3; i++) {
       long awayMs = i == 1 ? 15_000 : 200;
@@ -129,10 +129,10 @@
     }
     cluster.clock.runUntil(20_000);
     cancelEveryNth(cluster, kind == Kind.CANCEL ? 2 : 4, 1000);
-    cluster.clock.runUntil(FROM_MS + FOR_MS + 1);
+    cluster.clock.runUntil(FAULT_FROM_MS + FAULT_DURATION_MS + 1);
     runUntilDoneAndVerify(cluster);
     assertThat(cluster.lostAnswers.lost(kind)).as("answers lost").isGreaterThanOrEqualTo(least);
-    assertThat(lookedAt).as("jobs asked about at all nodes").hasSizeGreaterThan(30);
+    assertThat(queriedJobs).as("jobs asked about at all nodes").hasSizeGreaterThan(30);
     assertThat(cluster.checks.accepted).as("accepted").hasSize(cluster.submittedJobs());
   }
 }
--- a/src/test/java/dunlincroft/sim/TypesTest.java
+++ b/src/test/java/dunlincroft/sim/MachineTypeRecordTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Who knows no machine types accepts nothing: they must come by way of the record, and soon. */
-class TypesTest extends OverlappingFaultsScenario {
+class MachineTypeRecordTest extends OverlappingFaultsScenario {
   private static final int JOBS = 12;
   private static final long CLOUD_BACK_MS = 3000;
   private static final long OUTAGE_MS = 4000;
 
   /** Sooner than the balancer leads users away from nodes that are not ready. */
-  private static final long SOON_MS = 4000;
+  private static final long ACCEPTED_WITHIN_MS = 4000;
 
   /**
    * The cloud answers the leader alone, and the first writing of the types fails in an outage. It
@@ -25,7 +25,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void typesThatCouldNotBeRecordedAreRecordedSoon(long seed) throws MalformedException {
+  void failedMachineTypeWriteIsRetriedSoon(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
     cluster.checks.setFaultsEnd(70_000);
     for (int node = 0; node < cluster.nodeCount(); node++) {
@@ -44,11 +44,11 @@
     assertThat(cluster.state.dataUnder("d/types/")).as("not recorded in the outage").isEmpty();
     Random random = new Random(seed);
     for (int i = 0; i < JOBS; i++) {
-      JobSpec spec = PairsTest.job(random, i);
+      JobSpec spec = FaultPairsTest.randomJob(random, i);
       cluster.pinConnection(spec.ref(), (leader + 1 + i % 4) % cluster.nodeCount());
       cluster.submitAndFollow(spec, spec.isService() ? 100_000 : 0);
     }
-    cluster.clock.runUntil(CLOUD_BACK_MS + OUTAGE_MS + SOON_MS);
+    cluster.clock.runUntil(CLOUD_BACK_MS + OUTAGE_MS + ACCEPTED_WITHIN_MS);
     assertThat(cluster.leader()).isEqualTo(leader);
     assertThat(cluster.checks.accepted).as("accepted by others than the leader").hasSize(JOBS);
     runAndVerify(cluster);
--- a/src/test/java/dunlincroft/sim/SeveralHoldersTest.java
+++ b/src/test/java/dunlincroft/sim/MultipleOwnersTest.java
@@ -24,40 +24,40 @@
  * <p>More days than a build plays: {@code mvn surefire:test -Dtest=SeveralHoldersTest
  * -DseveralHolders.days=200}; {@code -DseveralHolders.first=35} begins with another one.
  */
-class SeveralHoldersTest {
+class MultipleOwnersTest {
   private static final int DAYS_IN_CI = 12;
-  private static final long FAULT_MS = 40_000;
-  private static final long TROUBLES_OVER_MS = 130_000;
+  private static final long FIRST_FAULT_MS = 40_000;
+  private static final long FAULTS_OVER_MS = 130_000;
   private static final long END_MS = 520_000;
   private static final int JOBS = 70;
 
   /** What happens on a day besides work. */
-  private enum Event {
+  private enum Fault {
     NOTHING,
-    HOLDER_ENDS,
-    TWO_END,
-    ALL_BACK_AT_ONCE,
+    OWNER_CRASHES,
+    TWO_CRASH,
+    ALL_RESTART,
     ZONE_CUT,
     MACHINES_HANG,
     LATE_WRITES,
-    HOLDER_CUT_FROM_STATE,
+    OWNER_CUT_FROM_STATE,
     LINKS_REFUSED,
     STATE_OUTAGE;
 
-    private void act(SimCluster cluster) {
+    private void inject(SimCluster cluster) {
       switch (this) {
         case NOTHING -> {}
-        case HOLDER_ENDS -> cluster.crashOwner(30_000);
-        case TWO_END -> {
+        case OWNER_CRASHES -> cluster.crashOwner(30_000);
+        case TWO_CRASH -> {
           cluster.crashOwner(30_000);
           cluster.clock.after(500, () -> cluster.crash(3, 20_000));
         }
-        case ALL_BACK_AT_ONCE -> cluster.crashAll(200);
+        case ALL_RESTART -> cluster.crashAll(200);
         case ZONE_CUT -> cluster.cutZone("a", 40_000);
         case MACHINES_HANG ->
             cluster.cloud.machines.values().stream().limit(8).forEach(w -> w.hang(30_000));
         case LATE_WRITES -> cluster.delayWrites(0.4, 40_000);
-        case HOLDER_CUT_FROM_STATE -> cluster.cutOwnerFromState(25_000);
+        case OWNER_CUT_FROM_STATE -> cluster.cutOwnerFromState(25_000);
         case LINKS_REFUSED -> cluster.refusePeerConnections(40_000);
         case STATE_OUTAGE -> cluster.state.outage(20_000);
       }
@@ -71,7 +71,7 @@
   }
 
   /** Services and arrays of small and large tasks, some of one zone. */
-  static JobSpec job(Random random, int number) throws MalformedException {
+  static JobSpec randomJob(Random random, int number) throws MalformedException {
     boolean service = random.nextInt(4) == 0;
     boolean large = random.nextInt(4) == 0;
     int tasks = service ? 1 + random.nextInt(3) : 1 + random.nextInt(large ? 4 : 30);
@@ -99,29 +99,29 @@
   }
 
   private static SimCluster play(int day) throws MalformedException {
-    int holders = 2 + day % 4;
-    Event event = Event.values()[day % Event.values().length];
+    int owners = 2 + day % 4;
+    Fault fault = Fault.values()[day % Fault.values().length];
     long seed = 300 + day;
     Random random = new Random(seed);
     // Limits from a machine's worth to half of the machines: teams are at them most of the time.
     Size size = Size.FLEET.withTeamLimits(16 + random.nextInt(5) * 12, 60 + random.nextInt(4) * 60);
     SimCluster cluster =
-        new SimCluster(seed, Policy.parse("holder_machines = " + 24 / holders + ";"), size);
-    cluster.checks.setFaultsEnd(TROUBLES_OVER_MS);
+        new SimCluster(seed, Policy.parse("holder_machines = " + 24 / owners + ";"), size);
+    cluster.checks.setFaultsEnd(FAULTS_OVER_MS);
     for (int i = 0; i < JOBS; i++) {
-      JobSpec spec = job(random, i);
+      JobSpec spec = randomJob(random, i);
       long cancelAfter = spec.isService() ? 60_000 + random.nextInt(250_000) : 0;
       cluster.clock.after(
           5000 + random.nextInt(100_000), () -> cluster.submitAndFollow(spec, cancelAfter));
     }
-    cluster.clock.after(FAULT_MS + random.nextInt(40_000), () -> event.act(cluster));
+    cluster.clock.after(FIRST_FAULT_MS + random.nextInt(40_000), () -> fault.inject(cluster));
     cluster.clock.runUntil(END_MS);
     return cluster;
   }
 
   @ParameterizedTest
   @MethodSource("days")
-  void noJobIsLeftWaitingBesideRoom(int day) throws MalformedException {
+  void noJobWaitsWhileCapacityIsFree(int day) throws MalformedException {
     SimCluster cluster = play(day);
     assertThat(cluster.checks.violations).isEmpty();
     assertThat(cluster.checks.accepted).hasSize(cluster.submittedJobs());
--- a/src/test/java/dunlincroft/sim/MuteMachinesTest.java
+++ b/src/test/java/dunlincroft/sim/OutboundPartitionTest.java
@@ -17,61 +17,64 @@
  * leases end, since commands do not renew them; they answer questions and so are not taken for
  * dead; and what they ran starts elsewhere only by the word of their new session.
  */
-class MuteMachinesTest extends OverlappingFaultsScenario {
+class OutboundPartitionTest extends OverlappingFaultsScenario {
   private static final long END_MS = 420_000;
 
-  private static Stream<Task> on(SimWorker worker) {
+  private static Stream<Task> runningTasks(SimWorker worker) {
     return worker.tasks.values().stream().filter(Task::isActive);
   }
 
   /** Mute for shorter and longer than the lease, beside a change of leader and cancellations. */
   @ParameterizedTest
   @CsvSource({"1,9000,0", "2,14000,3000", "3,30000,1000", "4,45000,8000", "5,60000,23000"})
-  void machinesAreMute(long seed, long ms, long crashAfter) throws MalformedException {
+  void workersCannotConnect(long seed, long ms, long crashAfter) throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.clock.runUntil(FAULTS_AT_MS);
-    List<SimWorker> mute = InjectedFault.busiestMachines(cluster);
-    assertThat(mute.stream().flatMap(MuteMachinesTest::on).count()).isGreaterThan(8);
-    List<Long> tenures = mute.stream().map(SimWorker::session).toList();
-    mute.forEach(worker -> worker.blockOutbound(ms));
-    String old = cluster.ownerName();
+    List<SimWorker> partitioned = InjectedFault.busiestMachines(cluster);
+    assertThat(partitioned.stream().flatMap(OutboundPartitionTest::runningTasks).count())
+        .isGreaterThan(8);
+    List<Long> sessionNumbers = partitioned.stream().map(SimWorker::session).toList();
+    partitioned.forEach(worker -> worker.blockOutbound(ms));
+    String oldOwner = cluster.ownerName();
     if (crashAfter >= 0) {
       cluster.clock.after(crashAfter, () -> cluster.crashOwner(15_000));
     }
-    Set<JobSpec> there =
-        mute.stream()
-            .flatMap(MuteMachinesTest::on)
+    Set<JobSpec> cancelledJobs =
+        partitioned.stream()
+            .flatMap(OutboundPartitionTest::runningTasks)
             .map(task -> task.spec)
             .filter(spec -> spec.ref().hashCode() % 2 == 0)
             .collect(Collectors.toSet());
-    cluster.clock.after(2000, () -> there.forEach(cluster::cancel));
+    cluster.clock.after(2000, () -> cancelledJobs.forEach(cluster::cancel));
     cluster.clock.runUntil(FAULTS_AT_MS + Math.min(ms, 44_000));
-    Set<String> hosts = mute.stream().map(worker -> worker.host).collect(Collectors.toSet());
-    long direct =
+    Set<String> hosts = partitioned.stream().map(worker -> worker.host).collect(Collectors.toSet());
+    long directOrders =
         cluster.orderLog.executed.stream()
             .filter(done -> hosts.contains(done.host()) && done.executedAt() > FAULTS_AT_MS)
             .filter(OrderLog.ExecutedOrder::direct)
             .count();
-    long ended = 0;
-    for (int i = 0; i < mute.size(); i++) {
-      ended += mute.get(i).session() > tenures.get(i) ? 1 : 0;
+    long endedSessions = 0;
+    for (int i = 0; i < partitioned.size(); i++) {
+      endedSessions += partitioned.get(i).session() > sessionNumbers.get(i) ? 1 : 0;
     }
-    long gone = mute.stream().filter(worker -> worker.terminated).count();
-    assertThat(direct).as("direct orders that mute machines carried out").isPositive();
+    long releasedMachines = partitioned.stream().filter(worker -> worker.terminated).count();
+    assertThat(directOrders).as("direct orders that mute machines carried out").isPositive();
     assertThat(cluster.cloud.tasksLostToRelease)
         .as("tasks of machines that were released")
         .isZero();
     if (ms > cluster.leaseMs) {
-      assertThat(ended).as("sessions that ended").isGreaterThanOrEqualTo(4 - gone);
+      assertThat(endedSessions)
+          .as("sessions that ended")
+          .isGreaterThanOrEqualTo(4 - releasedMachines);
     } else {
-      assertThat(ended).as("sessions that ended").isZero();
+      assertThat(endedSessions).as("sessions that ended").isZero();
     }
     if (crashAfter >= 0 && crashAfter < ms) {
-      assertThat(cluster.ownerName()).isNotEqualTo(old);
+      assertThat(cluster.ownerName()).isNotEqualTo(oldOwner);
     }
     cancelServices(cluster);
     runAndVerifyBy(cluster, END_MS);
-    assertThat(there)
+    assertThat(cancelledJobs)
         .as("cancelled jobs of theirs")
         .anyMatch(spec -> cluster.checks.cancelConfirmedAt.containsKey(spec.ref()));
   }
--- a/src/test/java/dunlincroft/sim/OverlappingFaultsScenario.java
+++ b/src/test/java/dunlincroft/sim/OverlappingFaultsScenario.java
@@ -39,7 +39,7 @@
     cluster.checks.setFaultsEnd(FAULTS_AT_MS + 90_000);
     Random random = new Random(seed);
     for (int i = 0; i < 100; i++) {
-      JobSpec spec = PairsTest.job(random, i);
+      JobSpec spec = FaultPairsTest.randomJob(random, i);
       jobs.add(spec);
       cluster.clock.after(
           5000 + 500L * i, () -> cluster.submitAndFollow(spec, spec.isService() ? 150_000 : 0));
--- a/src/test/java/dunlincroft/sim/SupplyTest.java
+++ b/src/test/java/dunlincroft/sim/ProvisioningTest.java
@@ -12,29 +12,29 @@
 import org.junit.jupiter.api.Test;
 
 /** Renting, returning, clearing and the machine list, with the cloud's troubles. */
-class SupplyTest {
+class ProvisioningTest {
   private SimCluster cluster;
   private SimCloud cloud;
 
   @BeforeEach
-  void fiveMachines() throws MalformedException {
+  void createClusterWithFiveMachines() throws MalformedException {
     cluster = new SimCluster(11, Policy.DEFAULT, Size.SMALL);
     cloud = cluster.cloud;
   }
 
-  private void work(long atMs, int pieces) {
+  private void submitJob(long atMs, int tasks) {
     String ref = "run-w" + atMs;
     cluster.clock.after(
-        atMs, () -> cluster.submitAndFollow(RulesTest.simple(ref, "blue", pieces, 2), 0));
+        atMs, () -> cluster.submitAndFollow(InvariantsTest.batchJob(ref, "blue", tasks, 2), 0));
   }
 
-  private void rulesHold() {
+  private void assertInvariants() {
     assertThat(cluster.checks.violations).isEmpty();
     assertThat(cluster.checks.finalStates).hasSize(cluster.submittedJobs());
   }
 
   /** Hosts of all recorded blocks; Checks sees to it that none stands in two. */
-  private List<String> leased() {
+  private List<String> leasedHosts() {
     List<String> hosts = new ArrayList<>();
     for (JsonNode block : cluster.state.dataUnder("d/blocks/").values()) {
       block.path("hosts").fieldNames().forEachRemaining(hosts::add);
@@ -43,15 +43,15 @@
   }
 
   @Test
-  void whatOneZoneRefusesIsRentedInOthers() {
+  void machinesRefusedInOneZoneAreRentedInOthers() {
     cloud.zonesWithoutCapacity.addAll(List.of("a", "c"));
-    work(5000, 90);
+    submitJob(5000, 90);
     cluster.clock.runUntil(20_000);
     assertThat(cloud.machines).hasSizeGreaterThan(8);
     assertThat(cloud.machines.values().stream().skip(5))
         .allMatch(worker -> worker.zone.equals("b"));
     cluster.clock.runUntil(120_000);
-    rulesHold();
+    assertInvariants();
   }
 
   /** Up within a second, while the answer to the rental takes three: leased once, rented once. */
@@ -60,65 +60,65 @@
     cloud.bootMs = 0;
     cloud.answerDelayMs = 3000;
     cloud.maxMachines = 40;
-    work(5000, 60);
+    submitJob(5000, 60);
     cluster.clock.runUntil(20_000);
-    assertThat(leased()).doesNotHaveDuplicates().hasSameSizeAs(cloud.machines.keySet());
+    assertThat(leasedHosts()).doesNotHaveDuplicates().hasSameSizeAs(cloud.machines.keySet());
     assertThat(cloud.machines).hasSizeBetween(7, 16);
     cluster.clock.runUntil(120_000);
-    rulesHold();
+    assertInvariants();
   }
 
   @Test
-  void machinesThatNeverComeUpAreReplacedAndReturned() {
+  void machinesThatNeverBootAreReplacedAndReturned() {
     cloud.bootMs = Long.MAX_VALUE / 4;
-    work(5000, 60);
+    submitJob(5000, 60);
     cluster.clock.runUntil(15_000);
-    int late = cloud.machines.size() - 5;
-    assertThat(late).isPositive();
+    int notBooted = cloud.machines.size() - 5;
+    assertThat(notBooted).isPositive();
     cloud.bootMs = 2000;
     cluster.clock.runUntil(150_000);
-    assertThat(cloud.releasedMachines).isGreaterThanOrEqualTo(late);
-    rulesHold();
+    assertThat(cloud.releasedMachines).isGreaterThanOrEqualTo(notBooted);
+    assertInvariants();
   }
 
   @Test
-  void machinesAreReturnedOnceTheirWorkIsOver() {
-    work(5000, 90);
+  void machinesAreReturnedOnceTheyAreIdle() {
+    submitJob(5000, 90);
     cluster.clock.runUntil(30_000);
-    int most = cloud.machines.size();
-    assertThat(most).isGreaterThan(8);
+    int peak = cloud.machines.size();
+    assertThat(peak).isGreaterThan(8);
     cluster.clock.runUntil(55_000);
     assertThat(cloud.releasedMachines).as("paid for a minute all the same").isZero();
     cluster.clock.runUntil(180_000);
-    assertThat(cloud.machines.size()).isLessThan(most - 3);
+    assertThat(cloud.machines.size()).isLessThan(peak - 3);
     assertThat(cloud.tasksLostToRelease).isZero();
-    rulesHold();
+    assertInvariants();
   }
 
   @Test
-  void aMachineListedAsFailedIsReturnedAndAnUnexpectedOneLeased() {
+  void failedMachineIsReturnedAndUnexpectedOneLeased() {
     cluster.clock.runUntil(10_000);
     SimWorker lost = cloud.machines.firstEntry().getValue();
     SimWorker unexpected = cloud.rent("b", true);
-    work(10_000, 40);
+    submitJob(10_000, 40);
     cluster.clock.runUntil(14_000);
     cloud.failedHosts.add(lost.host);
     lost.hang(1_000_000);
     cluster.clock.runUntil(30_000);
-    assertThat(leased()).contains(unexpected.host).doesNotContain(lost.host);
+    assertThat(leasedHosts()).contains(unexpected.host).doesNotContain(lost.host);
     cluster.clock.runUntil(120_000);
-    rulesHold();
+    assertInvariants();
   }
 
   /** A third of the machines silent at once: rather a fault of ours than theirs. */
   @Test
   void manySilentMachinesAreNotReturnedAtOnce() {
-    work(1000, 40);
+    submitJob(1000, 40);
     cluster.clock.runUntil(10_000);
     cloud.machines.values().forEach(worker -> worker.hang(12_000));
     cluster.clock.runUntil(24_000);
     assertThat(cloud.tasksLostToRelease).isZero();
     cluster.clock.runUntil(150_000);
-    rulesHold();
+    assertInvariants();
   }
 }
--- a/src/test/java/dunlincroft/sim/StandInTest.java
+++ b/src/test/java/dunlincroft/sim/ProxyOwnerOutageTest.java
@@ -13,32 +13,33 @@
 /**
  * A holder ends inside an outage: others that know enough answer its workers, and start nothing.
  */
-class StandInTest extends OverlappingFaultsScenario {
+class ProxyOwnerOutageTest extends OverlappingFaultsScenario {
   private static final long OUTAGE_MS = 38_000;
 
   /** Machines whose last answer came from another controller than this, since then. */
-  private static long answeredByOthers(SimCluster cluster, int holder, long since) {
+  private static long answeredByOthers(SimCluster cluster, int ownerNode, long since) {
     return cluster.cloud.machines.values().stream()
-        .filter(worker -> worker.renewedBy != holder && worker.renewedAt > since)
+        .filter(worker -> worker.renewedBy != ownerNode && worker.renewedAt > since)
         .count();
   }
 
   /** Its tasks go on; those of cancelled jobs are stopped; all go back to who holds them. */
   @ParameterizedTest
   @CsvSource({"1, 4000, 200", "2, 4000, 3000", "3, 8000, 60000", "4, 1000, 200"})
-  void noWellMachineLosesItsTasks(long seed, long after, long awayMs) throws MalformedException {
+  void healthyMachinesKeepTheirTasks(long seed, long crashAfterMs, long awayMs)
+      throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.checks.setFaultsEnd(FAULTS_AT_MS + OUTAGE_MS + 30_000);
     cluster.clock.runUntil(FAULTS_AT_MS);
-    int holder = cluster.nodeIndex(cluster.ownerName());
+    int ownerNode = cluster.nodeIndex(cluster.ownerName());
     cancelEveryNth(cluster, 6, 100);
     cluster.clock.after(1500, () -> cluster.state.outage(OUTAGE_MS));
-    cluster.clock.runUntil(FAULTS_AT_MS + 1500 + after);
+    cluster.clock.runUntil(FAULTS_AT_MS + 1500 + crashAfterMs);
     long running = sum(cluster, worker -> worker.tasks.size());
     assertThat(running).isGreaterThan(20);
-    cluster.crash(holder, awayMs);
+    cluster.crash(ownerNode, awayMs);
     cluster.clock.runUntil(FAULTS_AT_MS + 1500 + OUTAGE_MS);
-    assertThat(answeredByOthers(cluster, holder, FAULTS_AT_MS + after + 5000))
+    assertThat(answeredByOthers(cluster, ownerNode, FAULTS_AT_MS + crashAfterMs + 5000))
         .as("machines that others answered")
         .isGreaterThan(5);
     assertThat(cluster.checks.tasksLostToLease).as("tasks ended by leases").isZero();
@@ -50,28 +51,28 @@
    * stand-ins 37 to 62 tasks ended by leases on each of these days.
    */
   @Test
-  void tenEndsWithAnOutage() throws MalformedException {
+  void tenCrashesAroundAnOutage() throws MalformedException {
     long ended = 0;
     for (long[] day : new long[][] {{1, 300}, {2, 3000}, {3, 2000}, {5, 200}}) {
-      ended += endedByLeases(day[0], day[1]);
+      ended += tasksEndedByLeases(day[0], day[1]);
     }
     assertThat(ended).as("tasks ended by leases on four days").isLessThan(4 * 20);
   }
 
-  private long endedByLeases(long seed, long awayMs) throws MalformedException {
+  private long tasksEndedByLeases(long seed, long awayMs) throws MalformedException {
     jobs.clear();
     SimCluster cluster = busyCluster(seed);
     cluster.checks.setFaultsEnd(FAULTS_AT_MS + 150_000);
     cluster.clock.runUntil(FAULTS_AT_MS);
-    int[] met = new int[1];
+    int[] crashesInOutage = new int[1];
     for (int i = 0; i < 10; i++) {
-      cluster.clock.after(12_000L * i, () -> met[0] += cluster.state.down ? 1 : 0);
+      cluster.clock.after(12_000L * i, () -> crashesInOutage[0] += cluster.state.down ? 1 : 0);
     }
     cluster.crashBusiestRepeatedly(10, 12_000, awayMs);
     cluster.clock.after(30_000, () -> cluster.state.outage(70_000));
     cancelEveryNth(cluster, 3, 1000);
     cluster.clock.runUntil(FAULTS_AT_MS + 120_000);
-    assertThat(met[0]).as("ends inside the outage").isBetween(5, 6);
+    assertThat(crashesInOutage[0]).as("ends inside the outage").isBetween(5, 6);
     long ended = cluster.checks.tasksLostToLease;
     runAndVerify(cluster);
     return ended;
@@ -83,21 +84,22 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void whoAloneIsCutOffDoesNotStandIn(long seed) throws MalformedException {
+  void ownerCutOffAloneDoesNotActAsProxy(long seed) throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.clock.runUntil(FAULTS_AT_MS);
-    String old = cluster.ownerName();
+    String oldOwner = cluster.ownerName();
     cluster.cutOwnerFromState(45_000);
-    while (cluster.ownerName().equals(old)) {
+    while (cluster.ownerName().equals(oldOwner)) {
       cluster.clock.runUntil(cluster.clock.now() + 50);
     }
-    long taken = cluster.clock.now();
+    long takenOverAt = cluster.clock.now();
     cluster.clock.runUntil(FAULTS_AT_MS + 40_000);
     assertThat(cluster.cloud.machines.values())
         .as("answered by the old one after the change of hands")
         .noneMatch(
             worker ->
-                worker.renewedBy == cluster.nodeIndex(old) && worker.renewedAt > taken + 2000);
+                worker.renewedBy == cluster.nodeIndex(oldOwner)
+                    && worker.renewedAt > takenOverAt + 2000);
     runAndVerify(cluster);
   }
 
@@ -108,26 +110,26 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {2, 3, 4})
-  void startsThatWereHeldUpAreVoid(long seed) throws MalformedException {
+  void delayedStartsAreRejected(long seed) throws MalformedException {
     SimCluster cluster = busyCluster(seed);
     cluster.checks.setFaultsEnd(FAULTS_AT_MS + 120_000);
     cluster.clock.runUntil(FAULTS_AT_MS);
-    String holder = cluster.ownerName();
-    String address = cluster.nodeAddress(cluster.nodeIndex(holder));
-    List<SimWorker> cut = List.copyOf(cluster.cloud.machines.values());
-    cut.forEach(worker -> cluster.net.cut(address, worker.address, 62_000));
+    String owner = cluster.ownerName();
+    String address = cluster.nodeAddress(cluster.nodeIndex(owner));
+    List<SimWorker> unreachable = List.copyOf(cluster.cloud.machines.values());
+    unreachable.forEach(worker -> cluster.net.cut(address, worker.address, 62_000));
     for (int i = 0; i < 30; i++) {
-      JobSpec more = RulesTest.simple("run-more-" + i, "blue", 20, 2);
+      JobSpec more = InvariantsTest.batchJob("run-more-" + i, "blue", 20, 2);
       jobs.add(more);
       cluster.clock.after(10L * i, () -> cluster.submitAndFollow(more, 0));
       cluster.clock.after(1500 + 10L * i, () -> cluster.cancel(more));
     }
     cluster.clock.runUntil(FAULTS_AT_MS + 2500);
     cluster.state.outage(70_000);
-    cluster.clock.after(6000, () -> cluster.crash(cluster.nodeIndex(holder), 2000));
+    cluster.clock.after(6000, () -> cluster.crash(cluster.nodeIndex(owner), 2000));
     cluster.clock.runUntil(FAULTS_AT_MS + 60_000);
     assertThat(cluster.checks.cancelConfirmedAt).hasSizeGreaterThan(20);
-    assertThat(cut)
+    assertThat(unreachable)
         .as("sessions that went on")
         .filteredOn(worker -> !worker.terminated && worker.session() == 1)
         .hasSizeGreaterThan(5);
--- a/src/test/java/dunlincroft/sim/SmallJobsTest.java
+++ b/src/test/java/dunlincroft/sim/SmallJobCancellationTest.java
@@ -19,17 +19,17 @@
  * One-task jobs come four a second for minutes, and a quarter of them is cancelled: at once, while
  * they wait, while they run, around their end.
  */
-class SmallJobsTest {
+class SmallJobCancellationTest {
   private static final int JOBS = 480;
-  private static final long EACH_MS = 250;
-  private static final long FROM_MS = 20_000;
+  private static final long SUBMIT_INTERVAL_MS = 250;
+  private static final long FIRST_SUBMIT_MS = 20_000;
   private static final long END_MS = 500_000;
 
   /** An order, and the fetch of the image that it begins. */
-  private static final long ON_ITS_WAY_MS = 2500;
+  private static final long ORDER_IN_FLIGHT_MS = 2500;
 
   /** When in a job's life its user cancels it. */
-  private enum Moment {
+  private enum JobPhase {
     AT_ONCE,
     WAITING,
     RUNNING,
@@ -37,15 +37,15 @@
   }
 
   /** What troubles the cluster meanwhile. */
-  private enum Beside {
+  private enum FaultScenario {
     NOTHING,
-    CHANGES_OF_THE_HOLDER,
+    OWNER_CHANGES,
     SLOW_STATE_SERVICE,
     LATE_WRITES,
-    ALL_OF_IT
+    ALL
   }
 
-  private final Map<Moment, Integer> met = new EnumMap<>(Moment.class);
+  private final Map<JobPhase, Integer> cancelsByPhase = new EnumMap<>(JobPhase.class);
 
   private static JobSpec job(int number, double expectS) throws MalformedException {
     return JobSpec.parse(
@@ -69,13 +69,13 @@
             .put("flushS", 0.0));
   }
 
-  private void cancel(SimCluster cluster, Random random, JobSpec spec, Moment moment) {
+  private void cancel(SimCluster cluster, Random random, JobSpec spec, JobPhase phase) {
     long endMs = (long) (spec.estimatedRunS() * 1000);
-    switch (moment) {
+    switch (phase) {
       case AT_ONCE -> afterAccepted(cluster, spec, 0);
       case WAITING -> afterAccepted(cluster, spec, random.nextInt(900));
-      case RUNNING -> afterBegin(cluster, spec, 300 + random.nextInt(1000));
-      case AROUND_THE_END -> afterBegin(cluster, spec, endMs - 500 + random.nextInt(1000));
+      case RUNNING -> afterStart(cluster, spec, 300 + random.nextInt(1000));
+      case AROUND_THE_END -> afterStart(cluster, spec, endMs - 500 + random.nextInt(1000));
     }
   }
 
@@ -87,56 +87,59 @@
     }
   }
 
-  private void afterBegin(SimCluster cluster, JobSpec spec, long ms) {
+  private void afterStart(SimCluster cluster, JobSpec spec, long ms) {
     if (cluster.checks.running(spec.ref()) > 0) {
       cluster.clock.after(ms, () -> cancelNow(cluster, spec));
     } else if (!cluster.checks.finalStates.containsKey(spec.ref())) {
-      cluster.clock.after(20, () -> afterBegin(cluster, spec, ms));
+      cluster.clock.after(20, () -> afterStart(cluster, spec, ms));
     }
   }
 
   /** Cancels, and notes in which moment of the job's life that was. */
   private void cancelNow(SimCluster cluster, JobSpec spec) {
-    Moment now = Moment.WAITING;
+    JobPhase actualPhase = JobPhase.WAITING;
     if (cluster.checks.completedTasks.containsKey(spec.ref())) {
-      now = Moment.AROUND_THE_END;
+      actualPhase = JobPhase.AROUND_THE_END;
     } else if (cluster.checks.running(spec.ref()) > 0) {
-      now = Moment.RUNNING;
+      actualPhase = JobPhase.RUNNING;
     } else if (cluster.state.dataUnder("d/jobs/" + spec.ref()).isEmpty()) {
-      now = Moment.AT_ONCE;
+      actualPhase = JobPhase.AT_ONCE;
     }
-    met.merge(now, 1, Integer::sum);
+    cancelsByPhase.merge(actualPhase, 1, Integer::sum);
     cluster.cancel(spec);
   }
 
-  private void trouble(SimCluster cluster, Beside beside) {
-    boolean all = beside == Beside.ALL_OF_IT;
-    if (all || beside == Beside.CHANGES_OF_THE_HOLDER) {
+  private void injectFaults(SimCluster cluster, FaultScenario scenario) {
+    boolean all = scenario == FaultScenario.ALL;
+    if (all || scenario == FaultScenario.OWNER_CHANGES) {
       for (int i = 0; i < 6; i++) {
-        boolean atOnce = i % 2 == 0;
-        cluster.clock.after(10_000 + 17_000L * i, () -> cluster.crashOwner(atOnce ? 200 : 12_000));
+        boolean restarts = i % 2 == 0;
+        cluster.clock.after(
+            10_000 + 17_000L * i, () -> cluster.crashOwner(restarts ? 200 : 12_000));
       }
     }
-    if (all || beside == Beside.SLOW_STATE_SERVICE) {
+    if (all || scenario == FaultScenario.SLOW_STATE_SERVICE) {
       for (int i = 0; i < 4; i++) {
         cluster.clock.after(6000 + 30_000L * i, () -> cluster.slowStateService(30, 14_000));
       }
     }
-    if (all || beside == Beside.LATE_WRITES) {
+    if (all || scenario == FaultScenario.LATE_WRITES) {
       cluster.delayWrites(0.2, 110_000);
     }
   }
 
   private SimCluster cluster(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
-    cluster.checks.setFaultsEnd(FROM_MS + JOBS * EACH_MS + 30_000);
+    cluster.checks.setFaultsEnd(FIRST_SUBMIT_MS + JOBS * SUBMIT_INTERVAL_MS + 30_000);
     Random random = new Random(seed);
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec = job(i, 1.5 + random.nextInt(8));
-      cluster.clock.after(FROM_MS + EACH_MS * i, () -> cluster.submitAndFollow(spec, 0));
+      cluster.clock.after(
+          FIRST_SUBMIT_MS + SUBMIT_INTERVAL_MS * i, () -> cluster.submitAndFollow(spec, 0));
       if (i % 4 == 1) {
-        Moment moment = Moment.values()[i / 4 % 4];
-        cluster.clock.after(FROM_MS + EACH_MS * i, () -> cancel(cluster, random, spec, moment));
+        JobPhase phase = JobPhase.values()[i / 4 % 4];
+        cluster.clock.after(
+            FIRST_SUBMIT_MS + SUBMIT_INTERVAL_MS * i, () -> cancel(cluster, random, spec, phase));
       }
     }
     return cluster;
@@ -144,7 +147,7 @@
 
   /** Plays until every user was told of the end, and a little longer. */
   private static void play(SimCluster cluster) {
-    cluster.clock.runUntil(FROM_MS + JOBS * EACH_MS);
+    cluster.clock.runUntil(FIRST_SUBMIT_MS + JOBS * SUBMIT_INTERVAL_MS);
     while (cluster.checks.finalStates.size() < JOBS && cluster.clock.now() < END_MS) {
       cluster.clock.runUntil(cluster.clock.now() + 1000);
     }
@@ -152,27 +155,28 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Beside.class)
-  void everyJobEndsAsItsUserWants(Beside beside) throws MalformedException {
-    SimCluster cluster = cluster(1 + beside.ordinal());
-    CancellationLog log = new CancellationLog(cluster);
-    OwnershipChanges hands = new OwnershipChanges(cluster);
-    cluster.clock.runUntil(FROM_MS);
-    trouble(cluster, beside);
+  @EnumSource(FaultScenario.class)
+  void everyJobEndsAsItsUserRequested(FaultScenario scenario) throws MalformedException {
+    SimCluster cluster = cluster(1 + scenario.ordinal());
+    CancellationLog cancelLog = new CancellationLog(cluster);
+    OwnershipChanges ownershipChanges = new OwnershipChanges(cluster);
+    cluster.clock.runUntil(FIRST_SUBMIT_MS);
+    injectFaults(cluster, scenario);
     play(cluster);
-    met(cluster, beside, hands);
-    ended(cluster, log);
+    assertFaultsOverlappedJobs(cluster, scenario, ownershipChanges);
+    assertFinalStates(cluster, cancelLog);
   }
 
   /** The troubles met the jobs, and the cancellations each moment of their lives. */
-  private void met(SimCluster cluster, Beside beside, OwnershipChanges hands) {
-    assertThat(met.getOrDefault(Moment.WAITING, 0)).isGreaterThan(30);
-    assertThat(met.getOrDefault(Moment.RUNNING, 0)).isGreaterThan(30);
-    assertThat(met.getOrDefault(Moment.AROUND_THE_END, 0)).isGreaterThan(5);
-    if (beside == Beside.CHANGES_OF_THE_HOLDER || beside == Beside.ALL_OF_IT) {
-      assertThat(hands.changes).as("changes of hands").hasSizeGreaterThan(3);
+  private void assertFaultsOverlappedJobs(
+      SimCluster cluster, FaultScenario scenario, OwnershipChanges ownershipChanges) {
+    assertThat(cancelsByPhase.getOrDefault(JobPhase.WAITING, 0)).isGreaterThan(30);
+    assertThat(cancelsByPhase.getOrDefault(JobPhase.RUNNING, 0)).isGreaterThan(30);
+    assertThat(cancelsByPhase.getOrDefault(JobPhase.AROUND_THE_END, 0)).isGreaterThan(5);
+    if (scenario == FaultScenario.OWNER_CHANGES || scenario == FaultScenario.ALL) {
+      assertThat(ownershipChanges.changes).as("changes of hands").hasSizeGreaterThan(3);
     }
-    if (beside == Beside.LATE_WRITES || beside == Beside.ALL_OF_IT) {
+    if (scenario == FaultScenario.LATE_WRITES || scenario == FaultScenario.ALL) {
       assertThat(cluster.net.executedAfterNewer)
           .as("late writes after newer ones")
           .isGreaterThan(100);
@@ -182,7 +186,7 @@
   /**
    * Nothing is forgotten, nothing starts once its user was told, and who did not cancel is done.
    */
-  private static void ended(SimCluster cluster, CancellationLog log) {
+  private static void assertFinalStates(SimCluster cluster, CancellationLog cancelLog) {
     InvariantChecks checks = cluster.checks;
     assertThat(checks.violations).isEmpty();
     assertThat(checks.accepted).hasSize(JOBS);
@@ -197,15 +201,15 @@
     long withdrawn = checks.finalStates.values().stream().filter(Wire.CANCELLED::equals).count();
     assertThat(withdrawn).as("cancelled in time").isGreaterThan(90);
     assertThat(withdrawn).as("told once, told for ever").isEqualTo(checks.cancelConfirmedAt.size());
-    assertThat(checks.completedTasks.keySet()).containsAll(doneOnes(checks));
-    assertThat(log.startsAfterCancellation).as("recorded after the cancellation").isEmpty();
+    assertThat(checks.completedTasks.keySet()).containsAll(doneJobs(checks));
+    assertThat(cancelLog.startsAfterCancellation).as("recorded after the cancellation").isEmpty();
     assertThat(checks.startedAfterCancelMs)
         .as("orders that were on their way")
         .hasSizeLessThan(4)
-        .allMatch(ms -> ms < ON_ITS_WAY_MS);
+        .allMatch(ms -> ms < ORDER_IN_FLIGHT_MS);
   }
 
-  private static List<String> doneOnes(InvariantChecks checks) {
+  private static List<String> doneJobs(InvariantChecks checks) {
     return checks.finalStates.entrySet().stream()
         .filter(each -> each.getValue().equals(Wire.DONE))
         .map(Map.Entry::getKey)
--- a/src/test/java/dunlincroft/sim/CloseLooksTest.java
+++ b/src/test/java/dunlincroft/sim/StaleReadsTest.java
@@ -17,14 +17,14 @@
  * Users ask at all nodes within milliseconds, and repeat the submission, right after a job was
  * accepted, ended or confirmed as cancelled; some cancel at once. No node answers anything older.
  */
-class CloseLooksTest extends OverlappingFaultsScenario {
-  private static final long ALL_DAY_MS = 420_000;
+class StaleReadsTest extends OverlappingFaultsScenario {
+  private static final long DAY_END_MS = 420_000;
 
   /** A busy day on which users look closely all the time. */
-  private SimCluster watched(long seed) throws MalformedException {
+  private SimCluster observedCluster(long seed) throws MalformedException {
     jobs.clear();
     SimCluster cluster = busyCluster(seed);
-    cluster.requestBursts.enableFor(ALL_DAY_MS);
+    cluster.requestBursts.enableFor(DAY_END_MS);
     return cluster;
   }
 
@@ -37,8 +37,8 @@
     "5,HOLDER_STANDS_STILL",
     "6,ALL_BACK_AT_ONCE"
   })
-  void noNodeAnswersAnythingOlder(long seed, InjectedFault trouble) throws MalformedException {
-    SimCluster cluster = watched(seed);
+  void noNodeAnswersOlderState(long seed, InjectedFault trouble) throws MalformedException {
+    SimCluster cluster = observedCluster(seed);
     // On every other day whoever lags must read everything again.
     cluster.state.maxChanges = seed % 2 == 0 ? 60 : cluster.state.maxChanges;
     cluster.clock.runUntil(15_000);
@@ -52,21 +52,21 @@
     assertThat(cluster.requestBursts.burstsAtAcceptance).isGreaterThan(80);
     assertThat(cluster.requestBursts.burstsAtCompletion).isGreaterThan(20);
     assertThat(cluster.requestBursts.burstsAtCancellation).isGreaterThan(6);
-    runAndVerify(cluster, ALL_DAY_MS);
+    runAndVerify(cluster, DAY_END_MS);
   }
 
   /** The answer to a cancellation of a job that is partly done, which polls have told already. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
-  void aCancellationIsNotAnsweredWithLessThanPollsSaid(long seed) throws MalformedException {
-    SimCluster cluster = watched(seed);
-    Set<String> partly = new HashSet<>();
+  void cancellationAnswerCountsNoFewerDoneTasksThanPolls(long seed) throws MalformedException {
+    SimCluster cluster = observedCluster(seed);
+    Set<String> partlyDone = new HashSet<>();
     for (long at = 20_000; at < 60_000; at += 500) {
       cluster.clock.runUntil(at);
       for (JobSpec spec : jobs) {
         int done = cluster.checks.maxDoneReported(spec.ref());
         boolean open = !cluster.checks.finalStates.containsKey(spec.ref());
-        if (open && done > 0 && done < spec.taskCount() && partly.add(spec.ref())) {
+        if (open && done > 0 && done < spec.taskCount() && partlyDone.add(spec.ref())) {
           cluster.requestBursts.cancel(cluster.randomNode(), spec);
         }
       }
@@ -77,8 +77,8 @@
               spec -> spec.taskCount() > 1 && !cluster.checks.finalStates.containsKey(spec.ref()))
           .forEach(spec -> cluster.requestBursts.query(cluster.randomNode(), spec));
     }
-    assertThat(partly).as("cancelled with some tasks told as done").hasSizeGreaterThan(8);
-    runAndVerify(cluster, ALL_DAY_MS);
+    assertThat(partlyDone).as("cancelled with some tasks told as done").hasSizeGreaterThan(8);
+    runAndVerify(cluster, DAY_END_MS);
   }
 
   /**
@@ -86,17 +86,17 @@
    * do ask nodes that lag.
    */
   @Test
-  void withoutBarriersOlderAnswersAreSeen() throws MalformedException {
-    Set<String> seen = new HashSet<>();
+  void withoutReadBarriersStaleAnswersAreReported() throws MalformedException {
+    Set<String> reportedRules = new HashSet<>();
     for (long seed = 1; seed <= 2; seed++) {
-      SimCluster cluster = watched(seed);
+      SimCluster cluster = observedCluster(seed);
       cluster.clock.runUntil(15_000);
       cluster.state.emptyBarriers = true;
       cancelEveryNth(cluster, 4, 2000);
       cluster.clock.runUntil(FAULTS_AT_MS + 60_000);
-      cluster.checks.violations.forEach(each -> seen.add(each.split(" ")[1]));
+      cluster.checks.violations.forEach(each -> reportedRules.add(each.split(" ")[1]));
     }
-    assertThat(seen).contains("forgotten:", "went_back:");
+    assertThat(reportedRules).contains("forgotten:", "went_back:");
   }
 
   /**
@@ -104,7 +104,7 @@
    * cancellation, so the days above no longer show it.
    */
   @Test
-  void aSmallerCountOfDoneTasksIsSeen() throws MalformedException {
+  void smallerDoneCountIsReported() throws MalformedException {
     SimCluster cluster = busyCluster(1);
     cluster.clock.runUntil(15_000);
     JobSpec spec = jobs.get(0);
--- a/src/test/java/dunlincroft/sim/LeftWaitingTest.java
+++ b/src/test/java/dunlincroft/sim/StarvationCheckTest.java
@@ -10,12 +10,13 @@
 import org.junit.jupiter.api.Test;
 
 /** The check of jobs left waiting beside room finds planted faults, and nothing else. */
-class LeftWaitingTest {
-  private static final long AT_MS = 20_000;
+class StarvationCheckTest {
+  private static final long FAULTS_OVER_MS = 20_000;
   private static final long END_MS = 200_000;
 
   /** A long array of one zone, or (null) of any. */
-  private static JobSpec array(String ref, String team, int pieces, String zone, boolean together)
+  private static JobSpec longArray(
+      String ref, String team, int tasks, String zone, boolean samePlace)
       throws MalformedException {
     return JobSpec.parse(
         Cbor.map()
@@ -24,14 +25,14 @@
             .put("owner", team)
             .put("shape", "batch")
             .put("rank", "normal")
-            .put("pieces", pieces)
+            .put("pieces", tasks)
             .put("cpus", 2)
             .put("gpus", 0)
             .put("ramGb", 1)
             .put("bundle", "img-0")
             .put("imageGb", 1)
             .put("hall", zone)
-            .put("samePlace", together)
+            .put("samePlace", samePlace)
             .put("spread", false)
             .put("lendable", true)
             .put("expectS", 400)
@@ -41,18 +42,18 @@
 
   private static SimCluster cluster(long seed) throws MalformedException {
     SimCluster cluster = new SimCluster(seed, Policy.DEFAULT, Size.FLEET);
-    cluster.checks.setFaultsEnd(AT_MS);
+    cluster.checks.setFaultsEnd(FAULTS_OVER_MS);
     return cluster;
   }
 
-  private static boolean foundWaiting(SimCluster cluster, String ref) {
+  private static boolean isReportedWaiting(SimCluster cluster, String ref) {
     return cluster.checks.violations.stream()
         .anyMatch(what -> what.contains("left_waiting: " + ref));
   }
 
   /** A window that ends keeps its jobs from starting; the check is not told of it. */
   @Test
-  void aJobThatTheSchedulerDoesNotPlaceIsFound() throws MalformedException {
+  void unplacedJobIsReported() throws MalformedException {
     SimCluster cluster = cluster(1);
     cluster.putDocument(
         "calendar",
@@ -68,32 +69,32 @@
         cut_off = "22:40"
         at_cut_off = "finish"
         """);
-    JobSpec held = RulesTest.simple("run-held", "blue", 3, 1);
-    JobSpec free = array("run-free", "blue", 3, null, false);
+    JobSpec held = InvariantsTest.batchJob("run-held", "blue", 3, 1);
+    JobSpec free = longArray("run-free", "blue", 3, null, false);
     cluster.clock.after(5000, () -> cluster.submitAndFollow(held, 0));
     cluster.clock.after(5000, () -> cluster.submitAndFollow(free, 0));
     cluster.clock.runUntil(END_MS);
     assertThat(cluster.checks.accepted).contains("run-held", "run-free");
-    assertThat(foundWaiting(cluster, "run-held")).isTrue();
-    assertThat(foundWaiting(cluster, "run-free")).isFalse();
+    assertThat(isReportedWaiting(cluster, "run-held")).isTrue();
+    assertThat(isReportedWaiting(cluster, "run-free")).isFalse();
   }
 
   /** Nobody is there to place anything: what had begun, and what had not. */
   @Test
-  void jobsThatNobodyPlacesAreFound() throws MalformedException {
+  void jobsWithoutAnyControllerAreReported() throws MalformedException {
     SimCluster cluster = cluster(2);
-    JobSpec service = array("run-any", "blue", 6, null, false);
+    JobSpec service = longArray("run-any", "blue", 6, null, false);
     cluster.clock.after(5000, () -> cluster.submitAndFollow(service, 0));
-    cluster.clock.after(AT_MS, () -> cluster.crashAll(400_000));
+    cluster.clock.after(FAULTS_OVER_MS, () -> cluster.crashAll(400_000));
     cluster.clock.runUntil(END_MS);
-    assertThat(foundWaiting(cluster, "run-any")).isTrue();
+    assertThat(isReportedWaiting(cluster, "run-any")).isTrue();
   }
 
   /** A team at its limit waits for its own work. */
   @Test
-  void aTeamAtItsLimitIsNotLeftWaiting() throws MalformedException {
+  void jobOfATeamAtItsLimitIsNotReported() throws MalformedException {
     SimCluster cluster = cluster(3);
-    JobSpec more = array("run-more", "red", 30, null, false);
+    JobSpec more = longArray("run-more", "red", 30, null, false);
     cluster.clock.after(5000, () -> cluster.submitAndFollow(more, 0));
     cluster.clock.runUntil(END_MS);
     assertThat(cluster.checks.running("run-more")).as("40 cpus").isEqualTo(20);
@@ -102,13 +103,13 @@
 
   /** Room is elsewhere: in other zones than the job's own, or than that of its first tasks. */
   @Test
-  void roomInAnotherZoneIsNoRoom() throws MalformedException {
+  void freeCapacityInAnotherZoneIsNotCounted() throws MalformedException {
     SimCluster cluster = cluster(4);
     cluster.cloud.maxMachines = 6;
-    JobSpec bound = array("run-bound", "blue", 60, "a", false);
-    JobSpec together = array("run-together", "blue", 60, null, true);
-    JobSpec free = array("run-small", "blue", 1, null, false);
-    cluster.clock.after(5000, () -> cluster.submitAndFollow(bound, 0));
+    JobSpec zoneBound = longArray("run-bound", "blue", 60, "a", false);
+    JobSpec together = longArray("run-together", "blue", 60, null, true);
+    JobSpec free = longArray("run-small", "blue", 1, null, false);
+    cluster.clock.after(5000, () -> cluster.submitAndFollow(zoneBound, 0));
     cluster.clock.after(6000, () -> cluster.submitAndFollow(together, 0));
     cluster.clock.after(9000, () -> cluster.submitAndFollow(free, 0));
     cluster.clock.runUntil(END_MS);
--- a/src/test/java/dunlincroft/sim/TakeoverTest.java
+++ b/src/test/java/dunlincroft/sim/TakeoverTest.java
@@ -21,7 +21,7 @@
   private static final long FAULT_MS = 30_000;
 
   /** A process that ends may be started again within a fraction of a second. */
-  private static final long AT_ONCE_MS = 200;
+  private static final long RESTART_MS = 200;
 
   /** What happens at one moment; each day checks every rule and ends every job. */
   private enum Fault {
@@ -33,9 +33,9 @@
     BUSIEST_CUT_FROM_WORKERS(cluster -> cluster.cutOwnerFromWorkers(25_000)),
     BUSIEST_CUT_FROM_STATE(cluster -> cluster.cutOwnerFromState(25_000)),
     BUSIEST_CUT_FROM_CONTROLLERS(cluster -> cluster.cutOwnerFromControllers(25_000)),
-    HOLDER_PAUSES_1S(cluster -> cluster.pauseOwner(1000)),
-    HOLDER_PAUSES_5S(cluster -> cluster.pauseOwner(5000)),
-    HOLDER_PAUSES_40S(cluster -> cluster.pauseOwner(40_000)),
+    OWNER_PAUSES_1S(cluster -> cluster.pauseOwner(1000)),
+    OWNER_PAUSES_5S(cluster -> cluster.pauseOwner(5000)),
+    OWNER_PAUSES_40S(cluster -> cluster.pauseOwner(40_000)),
     SUCCESSORS_PAUSE_TOO(
         cluster -> {
           cluster.crashOwner(30_000);
@@ -46,7 +46,7 @@
           cluster.crashOwner(30_000);
           cluster.clock.after(500, () -> cluster.crash(3, 20_000));
         }),
-    ALL_FIVE(
+    ALL_FIVE_CRASH(
         cluster -> {
           for (int node = 0; node < cluster.nodeCount(); node++) {
             cluster.crash(node, 4000 + 100L * node);
@@ -80,49 +80,49 @@
             }
           }
         }),
-    BUSIEST_BACK_AT_ONCE(cluster -> cluster.crashOwner(AT_ONCE_MS)),
-    BUSIEST_ENDS_TEN_TIMES(
+    BUSIEST_RESTARTS(cluster -> cluster.crashOwner(RESTART_MS)),
+    BUSIEST_CRASHES_TEN_TIMES(
         cluster -> {
           int busiest = cluster.nodeIndex(cluster.ownerName());
           for (int i = 0; i < 10; i++) {
-            cluster.clock.after(i * 500L, () -> cluster.crash(busiest, AT_ONCE_MS));
+            cluster.clock.after(i * 500L, () -> cluster.crash(busiest, RESTART_MS));
           }
         }),
     ALL_FIVE_TWICE_WITHIN_2S(
         cluster -> {
-          cluster.crashAll(AT_ONCE_MS);
-          cluster.clock.after(1500, () -> cluster.crashAll(AT_ONCE_MS));
+          cluster.crashAll(RESTART_MS);
+          cluster.clock.after(1500, () -> cluster.crashAll(RESTART_MS));
         }),
     ALL_FIVE_AGAIN_AND_AGAIN_IN_AN_OUTAGE(
         cluster -> {
           cluster.state.outage(8000);
           for (int i = 0; i < 4; i++) {
-            cluster.clock.after(3000L * i, () -> cluster.crashAll(AT_ONCE_MS));
+            cluster.clock.after(3000L * i, () -> cluster.crashAll(RESTART_MS));
           }
         }),
-    CHANGES_OF_A_FORMER_LIFE_COME_LATE(
+    WRITES_OF_PREVIOUS_INCARNATION_DELAYED(
         cluster -> {
           int busiest = cluster.nodeIndex(cluster.ownerName());
           cluster.cutOwnerFromState(4000);
-          cluster.clock.after(1000, () -> cluster.crash(busiest, AT_ONCE_MS));
+          cluster.clock.after(1000, () -> cluster.crash(busiest, RESTART_MS));
         }),
-    ORDERS_OF_A_FORMER_LIFE_COME_LATE(
+    ORDERS_OF_PREVIOUS_INCARNATION_DELAYED(
         cluster -> {
           int busiest = cluster.nodeIndex(cluster.ownerName());
           cluster.cutOwnerFromWorkers(6000);
-          cluster.clock.after(1000, () -> cluster.crash(busiest, AT_ONCE_MS));
+          cluster.clock.after(1000, () -> cluster.crash(busiest, RESTART_MS));
         }),
-    BEATS_OF_A_FORMER_LIFE_COME_LATE(
+    HEARTBEATS_OF_PREVIOUS_INCARNATION_DELAYED(
         cluster -> {
           int busiest = cluster.nodeIndex(cluster.ownerName());
           cluster.cutOwnerFromControllers(3000);
-          cluster.clock.after(1000, () -> cluster.crash(busiest, AT_ONCE_MS));
+          cluster.clock.after(1000, () -> cluster.crash(busiest, RESTART_MS));
         }),
-    SUCCESSORS_END_AND_ARE_BACK_AT_ONCE(
+    SUCCESSORS_CRASH_AND_RESTART(
         cluster -> {
           cluster.crashOwner(30_000);
           for (int i = 1; i <= 6; i++) {
-            cluster.clock.after(700L * i, () -> cluster.crashOwner(AT_ONCE_MS));
+            cluster.clock.after(700L * i, () -> cluster.crashOwner(RESTART_MS));
           }
         }),
     STATE_SLOW_AS_THE_BUSIEST_CRASHES(
@@ -131,10 +131,10 @@
           cluster.clock.after(2000, () -> cluster.crashOwner(30_000));
         });
 
-    private final Consumer<SimCluster> act;
+    private final Consumer<SimCluster> injection;
 
-    Fault(Consumer<SimCluster> act) {
-      this.act = act;
+    Fault(Consumer<SimCluster> injection) {
+      this.injection = injection;
     }
   }
 
@@ -147,14 +147,14 @@
     cluster.checks.setFaultsEnd(FAULT_MS + 80_000);
     Random random = new Random(seed);
     for (int i = 0; i < Size.FLEET.jobs(); i++) {
-      JobSpec spec = RulesTest.job(random, i);
+      JobSpec spec = InvariantsTest.randomJob(random, i);
       long cancelAfter = spec.isService() ? 100_000 : 0;
       cluster.clock.after(5000 + 300L * i, () -> cluster.submitAndFollow(spec, cancelAfter));
     }
     return cluster;
   }
 
-  private static void rulesHold(SimCluster cluster) {
+  private static void assertInvariants(SimCluster cluster) {
     assertThat(cluster.checks.violations).isEmpty();
     assertThat(cluster.checks.accepted).hasSize(cluster.submittedJobs());
     assertThat(cluster.checks.finalStates).as("every job ends").hasSize(cluster.submittedJobs());
@@ -162,13 +162,13 @@
 
   @ParameterizedTest
   @EnumSource(Fault.class)
-  void rulesHoldWhenControllersAndMachinesFail(Fault fault) throws MalformedException {
+  void invariantsHoldWhenControllersAndMachinesFail(Fault fault) throws MalformedException {
     SimCluster cluster = busy(11);
-    cluster.clock.after(FAULT_MS, () -> fault.act.accept(cluster));
+    cluster.clock.after(FAULT_MS, () -> fault.injection.accept(cluster));
     cluster.clock.runUntil(FAULT_MS - 1000);
     assertThat(cluster.cloud.machines).hasSizeGreaterThan(20);
     cluster.clock.runUntil(600_000);
-    rulesHold(cluster);
+    assertInvariants(cluster);
   }
 
   /** Several holders: each of the failed ones has shards, machines and jobs. */
@@ -184,8 +184,8 @@
         "SUCCESSORS_END_AND_ARE_BACK_AT_ONCE",
         "MACHINES_DIE_AS_THE_BUSIEST_DOES"
       })
-  void rulesHoldWithSeveralHolders(Fault fault) throws MalformedException {
-    rulesHold(playedWithSeveralHolders(fault));
+  void invariantsHoldWithSeveralOwners(Fault fault) throws MalformedException {
+    assertInvariants(playWithSeveralOwners(fault));
   }
 
   /**
@@ -196,13 +196,13 @@
   @EnumSource(
       value = Fault.class,
       names = {"ZONE_CUT_WITH_ITS_CONTROLLERS", "MACHINES_DIE_AS_THE_BUSIEST_DOES"})
-  void noJobIsLeftWaitingAmongSeveralShards(Fault fault) throws MalformedException {
-    assertThat(playedWithSeveralHolders(fault).checks.starvedJobs).isEmpty();
+  void noJobWaitsForCapacityOfAnotherShard(Fault fault) throws MalformedException {
+    assertThat(playWithSeveralOwners(fault).checks.starvedJobs).isEmpty();
   }
 
-  private static SimCluster playedWithSeveralHolders(Fault fault) throws MalformedException {
+  private static SimCluster playWithSeveralOwners(Fault fault) throws MalformedException {
     SimCluster cluster = busy(12, Policy.parse("holder_machines = 12;"));
-    cluster.clock.after(FAULT_MS, () -> fault.act.accept(cluster));
+    cluster.clock.after(FAULT_MS, () -> fault.injection.accept(cluster));
     cluster.clock.runUntil(500_000);
     return cluster;
   }
@@ -210,11 +210,11 @@
   /** The successor stops or stands still in the middle of its takeover, at each of its steps. */
   @ParameterizedTest
   @CsvSource({"0,false", "40,true", "150,false", "400,true", "1000,false", "2500,true"})
-  void aTakeoverCutOffIsTakenOver(long after, boolean still) throws MalformedException {
+  void interruptedTakeoverIsTakenOver(long after, boolean pauses) throws MalformedException {
     SimCluster cluster = busy(13);
     // There is always something that waits for room.
-    JobSpec many = RulesTest.simple("run-many", "blue", 3000, 1);
-    cluster.clock.after(15_000, () -> cluster.submitAndFollow(many, 0));
+    JobSpec largeJob = InvariantsTest.batchJob("run-many", "blue", 3000, 1);
+    cluster.clock.after(15_000, () -> cluster.submitAndFollow(largeJob, 0));
     cluster.clock.runUntil(FAULT_MS);
     String first = cluster.ownerName();
     cluster.crashOwner(60_000);
@@ -226,30 +226,30 @@
     assertThat(second).isNotEqualTo(first);
     cluster.clock.runUntil(cluster.clock.now() + after);
     int node = cluster.nodeIndex(second);
-    if (still) {
+    if (pauses) {
       cluster.pauseNode(node, 30_000);
     } else {
       cluster.crash(node, 30_000);
     }
     // An ended process is succeeded at once, however short a time ago the shard changed hands.
-    cluster.clock.runUntil(cluster.clock.now() + (still ? 6000 : 1500));
+    cluster.clock.runUntil(cluster.clock.now() + (pauses ? 6000 : 1500));
     assertThat(cluster.ownerName()).isNotIn(first, second);
     int before = cluster.checks.starts;
     cluster.clock.runUntil(cluster.clock.now() + 6000);
     assertThat(cluster.checks.starts).as("the third starts work").isGreaterThan(before);
     cluster.clock.runUntil(600_000);
-    rulesHold(cluster);
+    assertInvariants(cluster);
   }
 
   /**
    * A crash is told from a pause by refused connections; starts go on within a second and a half.
    */
   @Test
-  void aCrashedHolderIsSucceededAtOnceAndLosesNoMachine() throws MalformedException {
+  void crashedOwnerIsReplacedAtOnceAndLosesNoMachine() throws MalformedException {
     SimCluster cluster = busy(14);
     // There is always something that waits for room.
-    JobSpec many = RulesTest.simple("run-many", "blue", 4000, 1);
-    cluster.clock.after(15_000, () -> cluster.submitAndFollow(many, 0));
+    JobSpec largeJob = InvariantsTest.batchJob("run-many", "blue", 4000, 1);
+    cluster.clock.after(15_000, () -> cluster.submitAndFollow(largeJob, 0));
     cluster.clock.runUntil(FAULT_MS);
     String first = cluster.ownerName();
     cluster.crashOwner(60_000);
@@ -267,7 +267,7 @@
    * After a restart of all, what the dead lives held is taken up without waiting for their ends.
    */
   @Test
-  void afterARestartOfAllTheLeaderAndTheHolderGoOn() throws MalformedException {
+  void leaderAndOwnerContinueAfterAFullRestart() throws MalformedException {
     SimCluster cluster = busy(17);
     cluster.clock.runUntil(FAULT_MS);
     for (int node = 0; node < cluster.nodeCount(); node++) {
@@ -275,8 +275,9 @@
     }
     cluster.clock.runUntil(FAULT_MS + 2500);
     JsonNode leader = cluster.state.dataUnder("d/leader/").get("one");
-    JsonNode there = cluster.state.dataUnder("d/controllers/").get(leader.path("name").asText());
-    assertThat(leader.path("incarnation")).isEqualTo(there.path("incarnation"));
+    JsonNode controller =
+        cluster.state.dataUnder("d/controllers/").get(leader.path("name").asText());
+    assertThat(leader.path("incarnation")).isEqualTo(controller.path("incarnation"));
     int before = cluster.checks.starts;
     cluster.clock.runUntil(FAULT_MS + 4000);
     assertThat(cluster.checks.starts).isGreaterThan(before);
@@ -290,29 +291,29 @@
    * ready meanwhile. One that restarts beside others leaves its users to them until it has read.
    */
   @Test
-  void aCommonRestartLeavesEverybodyReady() throws MalformedException {
+  void fullRestartLeavesEveryControllerReady() throws MalformedException {
     SimCluster cluster = busy(18);
     cluster.clock.runUntil(FAULT_MS);
     cluster.slowStateService(100, 5000);
-    cluster.crashAll(AT_ONCE_MS);
-    cluster.clock.runUntil(FAULT_MS + AT_ONCE_MS + 50);
+    cluster.crashAll(RESTART_MS);
+    cluster.clock.runUntil(FAULT_MS + RESTART_MS + 50);
     for (int node = 0; node < cluster.nodeCount(); node++) {
       assertThat(cluster.isReady(node)).isTrue();
     }
     cluster.clock.runUntil(FAULT_MS + 30_000);
     cluster.cutFromState(0, 8000);
-    cluster.crash(0, AT_ONCE_MS);
+    cluster.crash(0, RESTART_MS);
     cluster.clock.runUntil(FAULT_MS + 31_000);
     assertThat(cluster.isReady(0)).isFalse();
     assertThat(cluster.isReady(1)).isTrue();
     cluster.clock.runUntil(600_000);
-    rulesHold(cluster);
+    assertInvariants(cluster);
   }
 
   /** Links that lose packets, and links that a filter refuses, are nobody's failure. */
   @ParameterizedTest
   @ValueSource(doubles = {0.05, 0.2, 1})
-  void aHolderWithBadLinksKeepsItsShard(double loss) throws MalformedException {
+  void ownerWithBadLinksKeepsItsShard(double loss) throws MalformedException {
     SimCluster cluster = busy(15);
     cluster.clock.runUntil(FAULT_MS);
     String first = cluster.ownerName();
@@ -326,7 +327,7 @@
       assertThat(cluster.ownerName()).isEqualTo(first);
     }
     cluster.clock.runUntil(600_000);
-    rulesHold(cluster);
+    assertInvariants(cluster);
   }
 
   /**
@@ -335,7 +336,7 @@
    */
   @ParameterizedTest
   @CsvSource({"5500,false", "40000,true"})
-  void servicesOfACutZoneStartElsewhere(long ms, boolean released) throws MalformedException {
+  void servicesOfACutOffZoneStartElsewhere(long ms, boolean released) throws MalformedException {
     SimCluster cluster = busy(16);
     cluster.clock.runUntil(FAULT_MS);
     String zone = cluster.zoneWithoutOwner();
@@ -345,7 +346,7 @@
     cluster.clock.runUntil(FAULT_MS + 17_500);
     assertThat(cluster.cloud.tasksLostToRelease > 0).isEqualTo(released);
     cluster.clock.runUntil(600_000);
-    rulesHold(cluster);
+    assertInvariants(cluster);
   }
 
   /**
@@ -354,7 +355,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {17, 18, 19, 20})
-  void aTakeoverDoesNotProlongAZonesCut(long seed) throws MalformedException {
+  void takeoverDoesNotDelayReplacementOfACutOffZone(long seed) throws MalformedException {
     SimCluster cluster = busy(seed);
     cluster.clock.runUntil(FAULT_MS);
     cluster.cutZone(cluster.zoneWithoutOwner(), 40_000);
@@ -363,6 +364,6 @@
     cluster.clock.runUntil(FAULT_MS + 11_500);
     assertThat(cluster.cloud.tasksLostToRelease).isPositive();
     cluster.clock.runUntil(600_000);
-    rulesHold(cluster);
+    assertInvariants(cluster);
   }
 }
--- a/src/test/java/dunlincroft/sim/UnusualRequests.java
+++ b/src/test/java/dunlincroft/sim/UnusualRequests.java
@@ -131,7 +131,7 @@
 
   private ObjectNode validJob() {
     try {
-      return PairsTest.job(random, 0).toNode().put("ref", "run-odd-" + sentCount++);
+      return FaultPairsTest.randomJob(random, 0).toNode().put("ref", "run-odd-" + sentCount++);
     } catch (MalformedException e) {
       throw new IllegalStateException(e);
     }
--- a/src/test/java/dunlincroft/sim/RoomTest.java
+++ b/src/test/java/dunlincroft/sim/ZoneLossPreemptionTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Room for services where lesser work has filled everything. */
-class RoomTest {
+class ZoneLossPreemptionTest {
   private static final long CUT_MS = 60_000;
 
   /** On ordinary machines alone. */
-  private static JobSpec job(String ref, boolean service, int pieces, double cpus, double ramGb) {
+  private static JobSpec job(String ref, boolean service, int tasks, double cpus, double ramGb) {
     try {
       return JobSpec.parse(
           Cbor.map()
@@ -26,7 +26,7 @@
               .put("owner", "blue")
               .put("shape", service ? "daemon" : "batch")
               .put("rank", service ? "prod" : "idle")
-              .put("pieces", pieces)
+              .put("pieces", tasks)
               .put("cpus", cpus)
               .put("gpus", 0)
               .put("ramGb", ramGb)
@@ -43,14 +43,15 @@
     }
   }
 
-  private static List<SimWorker> in(SimCluster cluster, String zone) {
+  private static List<SimWorker> machinesIn(SimCluster cluster, String zone) {
     return cluster.cloud.machines.values().stream().filter(each -> each.zone.equals(zone)).toList();
   }
 
   /** Replicas that do not run on other machines than these. */
-  private static int missing(SimCluster cluster, List<JobSpec> services, List<SimWorker> than) {
+  private static int missingReplicas(
+      SimCluster cluster, List<JobSpec> services, List<SimWorker> excluded) {
     return services.stream()
-        .mapToInt(spec -> spec.taskCount() - cluster.checks.runningElsewhere(spec.ref(), than))
+        .mapToInt(spec -> spec.taskCount() - cluster.checks.runningElsewhere(spec.ref(), excluded))
         .sum();
   }
 
@@ -61,7 +62,7 @@
    * the zone where they have one already.
    */
   @Test
-  void servicesOfALostZoneAllMakeRoomAtOnce() throws MalformedException {
+  void servicesOfALostZoneAllPreemptAtOnce() throws MalformedException {
     SimCluster cluster = new SimCluster(31, Policy.DEFAULT, Size.FLEET);
     for (int i = 0; i < 45; i++) {
       cluster.cloud.rent(SimCluster.ZONES.get(i % 3), false).start();
@@ -72,8 +73,8 @@
       services.add(spec);
       cluster.clock.after(25_000 + 100L * i, () -> cluster.submitAndFollow(spec, 400_000));
     }
-    JobSpec many = job("run-many", false, 6000, 1, 0.5);
-    cluster.clock.after(3000, () -> cluster.submitAndFollow(many, 380_000));
+    JobSpec idleJob = job("run-many", false, 6000, 1, 0.5);
+    cluster.clock.after(3000, () -> cluster.submitAndFollow(idleJob, 380_000));
     cluster.clock.runUntil(CUT_MS);
     assertThat(cluster.cloud.machines).hasSizeGreaterThan(Size.FLEET.machines() - 5);
     // A few are stopped by the limits of the moment; those that are whole are looked at.
@@ -83,16 +84,16 @@
     String zone =
         SimCluster.ZONES.stream()
             .filter(each -> !each.equals(cluster.ownerZone()))
-            .min(Comparator.comparingInt(each -> in(cluster, each).size()))
+            .min(Comparator.comparingInt(each -> machinesIn(cluster, each).size()))
             .orElseThrow();
     cluster.cloud.zonesWithoutCapacity.addAll(SimCluster.ZONES);
-    List<SimWorker> cut = in(cluster, zone);
-    int hit = missing(cluster, services, cut);
-    assertThat(hit).isGreaterThan(7);
+    List<SimWorker> cutOff = machinesIn(cluster, zone);
+    int lostReplicas = missingReplicas(cluster, services, cutOff);
+    assertThat(lostReplicas).isGreaterThan(7);
     cluster.cutZone(zone, 80_000);
     // By the end of their lease all machines with services are released.
     cluster.clock.runUntil(CUT_MS + cluster.leaseMs);
-    assertThat(missing(cluster, services, cut)).isZero();
+    assertThat(missingReplicas(cluster, services, cutOff)).isZero();
     cluster.clock.runUntil(150_000);
     assertThat(cluster.checks.violations).isEmpty();
   }
