--- a/src/test/java/dunlincroft/sim/CancelAtCompletionTest.java
+++ b/src/test/java/dunlincroft/sim/CancelAtCompletionTest.java
@@ -15,9 +15,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Cancellations, questions and repeated submissions meet the end of a job's last task, at the
- * holder and at other nodes, milliseconds before and after: the report of the end, the write of the
- * job's end, and its answer.
+ * Guards against a wrong final state when a job ends as its user acts on it. Cancellations, queries
+ * and repeated submissions arrive within milliseconds of the end of a job's last task, at the owner
+ * and at other nodes: around the worker's report, the write of the job's end, and the answer to
+ * that write.
  */
 class CancelAtCompletionTest extends OverlappingFaultsScenario {
   private static final int JOBS = 200;
@@ -25,22 +26,25 @@
   private static final long FAULTS_OVER_MS = 80_000;
   private static final long END_MS = 150_000;
 
-  /** From the report of a task's end to the write of its job's end takes so long at the most. */
+  /** Longest time from the report of a task's end to the write of its job's end. */
   private static final int MAX_END_WRITE_MS = 60;
 
   private final Set<String> reportedEnds = new HashSet<>();
 
-  /** Meetings at the node that ran the job, and at others. */
+  /** Requests around a job's end at the node that owned the job, and at other nodes. */
   private int requestsAtOwner;
 
   private int requestsAtOtherNodes;
 
-  /** Ends that a cancellation came before in the state service, and the other way round. */
+  /**
+   * Writes of a job's end that the state service rejected because of a cancellation, and the
+   * reverse.
+   */
   private int rejectedEnds;
 
   private int rejectedCancels;
 
-  /** Jobs called off around their end, by what their users were told. */
+  /** Jobs cancelled around their end, by the final state that their users were told. */
   private int answeredDone;
 
   private int answeredWithdrawn;
@@ -64,7 +68,10 @@
     return cluster;
   }
 
-  /** A worker's report of the end of a job's last task leaves: users act around what follows. */
+  /**
+   * When a worker reports the end of a job's last task, users send requests around the write that
+   * follows.
+   */
   private void onWorkerReport(SimCluster cluster, Random random, ObjectNode body) {
     for (JsonNode task : body.path("pieces")) {
       String ref = task.path("piece").asText().split("/")[0];
@@ -84,7 +91,7 @@
     }
   }
 
-  /** The node that runs a job, by the records; -1: its end is recorded. */
+  /** The index of the node that owns a job according to the records; -1 if its end is recorded. */
   private static int ownerNodeOf(SimCluster cluster, String ref) {
     JsonNode job = cluster.state.dataUnder("d/jobs/" + ref).get("");
     if (job == null || job.has("status")) {
@@ -95,7 +102,7 @@
         cluster.state.dataUnder("d/shards/" + shard).get("").path("holder").asText());
   }
 
-  /** Plays a day to its end and counts what met on it. */
+  /** Plays a day to its end and adds up the requests that overlapped the end of a job. */
   private void playAndCount(SimCluster cluster) {
     runAndVerify(cluster, END_MS);
     rejectedEnds += cluster.state.rejectedEnds;
@@ -109,12 +116,14 @@
   }
 
   private void assertRequestsOverlappedEnds(int days) {
-    assertThat(requestsAtOwner).as("at the holder").isGreaterThan(20 * days);
-    assertThat(requestsAtOtherNodes).as("at other nodes").isGreaterThan(20 * days);
-    assertThat(rejectedEnds).as("ends refused by a cancellation").isGreaterThan(days);
-    assertThat(rejectedCancels).as("cancellations refused by the end").isGreaterThan(1);
-    assertThat(answeredDone).as("the end came first").isGreaterThan(10 * days);
-    assertThat(answeredWithdrawn).as("the cancellation came first").isGreaterThan(10 * days);
+    assertThat(requestsAtOwner).as("requests at the owner").isGreaterThan(20 * days);
+    assertThat(requestsAtOtherNodes).as("requests at other nodes").isGreaterThan(20 * days);
+    assertThat(rejectedEnds).as("ends rejected because of a cancellation").isGreaterThan(days);
+    assertThat(rejectedCancels).as("cancellations rejected because of the end").isGreaterThan(1);
+    assertThat(answeredDone).as("jobs told as done").isGreaterThan(10 * days);
+    assertThat(answeredWithdrawn)
+        .as("jobs with finished tasks told as cancelled")
+        .isGreaterThan(10 * days);
   }
 
   @Test
@@ -125,7 +134,7 @@
     assertRequestsOverlappedEnds(4);
   }
 
-  /** The same while the holder changes, at the very moment of some ends. */
+  /** The same while the owner changes, at the very moment at which some jobs end. */
   @Test
   void cancellationsAroundTheEndDuringOwnerChanges() throws MalformedException {
     for (long seed = 5; seed <= 8; seed++) {
@@ -147,7 +156,7 @@
             }
           };
       playAndCount(cluster);
-      assertThat(ownerChanges[0]).as("changes of the holder at an end").isEqualTo(5);
+      assertThat(ownerChanges[0]).as("owner changes at a job's end").isEqualTo(5);
     }
     assertRequestsOverlappedEnds(4);
   }
--- a/src/test/java/dunlincroft/sim/CancelBeforeStateOutageTest.java
+++ b/src/test/java/dunlincroft/sim/CancelBeforeStateOutageTest.java
@@ -18,16 +18,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The state service refuses the holder alone, others confirm cancellations that it does not read,
- * then the service is down for all for longer than cancel_s. Workers go on reporting to the holder:
- * the tasks of those jobs must be gone in time all the same.
+ * Guards against cancelled tasks that keep running because their owner never learned of the
+ * cancellation. The state service first refuses only the owner, while other controllers confirm
+ * cancellations that the owner cannot read; then the service is down for everybody for longer than
+ * cancel_s. Workers keep reporting to the owner, and the tasks of the cancelled jobs must still
+ * stop in time.
  */
 class CancelBeforeStateOutageTest {
   private static final long FAULT_AT_MS = 60_000;
   private static final long OUTAGE_AFTER_MS = 2000;
   private static final long OUTAGE_MS = 75_000;
 
-  /** What happens beside it. */
+  /** An additional fault injected during the outage. */
   private enum AdditionalFault {
     NOTHING(cluster -> {}),
     LINKS_REFUSED(cluster -> cluster.refusePeerConnections(OUTAGE_MS)),
@@ -53,7 +55,10 @@
       this.injection = injection;
     }
 
-    /** Whether the holder still learns what the others told, and work need not be lost. */
+    /**
+     * Whether the owner still learns of the cancellations from the other controllers, so that no
+     * other work need be lost.
+     */
     boolean ownerLearnsCancellations() {
       return this == NOTHING || this == LINKS_LOSE_PACKETS || this == REPORTS_DELAYED;
     }
@@ -88,12 +93,12 @@
     "2,NOTHING",
     "3,NOTHING",
     "1,LINKS_REFUSED",
-    "2,CONFIRMERS_ARE_BACK_AT_ONCE",
-    "3,ONE_CONFIRMER_IS_BACK_AT_ONCE",
-    "1,HOLDER_STANDS_STILL",
-    "2,ALL_STAND_STILL",
+    "2,CONFIRMERS_RESTART",
+    "3,ONE_CONFIRMER_RESTARTS",
+    "1,OWNER_PAUSES",
+    "2,ALL_PAUSE",
     "3,LINKS_LOSE_PACKETS",
-    "1,REPORTS_COME_LATE"
+    "1,REPORTS_DELAYED"
   })
   void cancelledTasksStopInTime(long seed, AdditionalFault fault) throws MalformedException {
     SimCluster cluster = busy(seed);
@@ -115,13 +120,14 @@
         cancelled.stream()
             .filter(spec -> cluster.checks.cancelConfirmedAt.containsKey(spec.ref()))
             .count();
-    assertThat(confirmed).as("confirmed by others in the gap").isGreaterThan(5);
+    assertThat(confirmed).as("cancellations confirmed by other controllers").isGreaterThan(5);
     cluster.clock.runUntil(FAULT_AT_MS + 20_000);
-    assertThat(cluster.ownerName()).as("nobody could take over").isEqualTo(owner);
-    // While it stands still the others stand in for it, and go on, as they raise the fence.
+    assertThat(cluster.ownerName()).as("no takeover during the outage").isEqualTo(owner);
+    // While the owner is paused, other controllers act as its proxy, and continue to do so, since
+    // they raise the fence token.
     boolean proxiesAnswer = fault == AdditionalFault.OWNER_PAUSES;
     assertThat(cluster.cloud.machines.values())
-        .as("workers still report to the old holder, or are answered in its place")
+        .as("workers answered by the old owner, or by proxies if it is paused")
         .filteredOn(worker -> (worker.renewedBy == ownerNode) != proxiesAnswer)
         .filteredOn(worker -> worker.renewedAt > FAULT_AT_MS + 14_000)
         .hasSizeGreaterThan(5);
@@ -129,7 +135,7 @@
     assertThat(cluster.checks.violations).isEmpty();
     if (fault.ownerLearnsCancellations()) {
       assertThat(fullyRunning(cluster, kept))
-          .as("nobody else loses work")
+          .as("services that were not cancelled")
           .containsAll(runningBefore);
     }
     services.forEach(spec -> cluster.clock.after(100_000, () -> cluster.cancel(spec)));
@@ -138,12 +144,12 @@
     assertThat(cluster.checks.finalStates).hasSize(cluster.submittedJobs());
   }
 
-  /** An outage in which nobody is cancelled unknown to the holder kills no work. */
+  /** An outage without cancellations unknown to the owner must not end any task. */
   @ParameterizedTest
   @ValueSource(longs = {30_000, 60_000, 120_000})
   void outageAloneEndsNoTask(long outageMs) throws MalformedException {
     SimCluster cluster = busy(4);
-    // Up to the last moment users cancel, and are told.
+    // Users cancel, and get confirmations, until the outage begins.
     for (int i = 0; i < 10; i++) {
       JobSpec spec = services.get(i);
       cluster.clock.after(200L * i, () -> cluster.cancel(spec));
@@ -157,7 +163,10 @@
     assertThat(cluster.checks.violations).isEmpty();
   }
 
-  /** The check can fail: tasks of jobs whose cancellation nobody ever reads stay. */
+  /**
+   * The check itself can fail: tasks of a job whose cancellation no controller ever reads are
+   * reported.
+   */
   @Test
   void cancelledTasksRunningTooLongAreReported() throws MalformedException {
     SimCluster cluster = busy(5);
--- a/src/test/java/dunlincroft/sim/CancelDuringHandoverTest.java
+++ b/src/test/java/dunlincroft/sim/CancelDuringHandoverTest.java
@@ -14,17 +14,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Jobs are cancelled, through every controller, in the moments in which the work of one controller
- * changes hands: when it ends, and when it is handed on as planned.
+ * Guards against starts of cancelled jobs while ownership of a shard changes, by a crash or by a
+ * planned handover. Users cancel through every controller at each step of the change.
  */
 class CancelDuringHandoverTest extends OverlappingFaultsScenario {
-  /** After a step, users cancel at these moments. */
+  /** Users cancel at these offsets after each step of an ownership change. */
   private static final long[] OFFSETS_MS = {0, 2, 5, 10, 20, 40, 80, 160, 320};
 
-  /** Pauses between users that cancel while no step can be seen. */
+  /** Interval between cancellations that are sent independently of the steps. */
   private static final long CANCEL_INTERVAL_MS = 60;
 
-  /** An order, and the fetch of the image that it begins. */
+  /**
+   * Longest time an order that was already in flight may take, with the image download that it
+   * begins.
+   */
   private static final long ORDER_IN_FLIGHT_MS = 2500;
 
   private CancellationLog cancelLog;
@@ -32,7 +35,9 @@
   private int nextJob;
   private int nextNode;
 
-  /** The busy cluster, with more jobs, and all that is done in it watched. */
+  /**
+   * A busy cluster with additional jobs, whose cancellations and ownership changes are observed.
+   */
   private SimCluster observedCluster(long seed, Policy policy) throws MalformedException {
     SimCluster cluster = busyCluster(seed, policy);
     Random random = new Random(seed + 1000);
@@ -47,7 +52,9 @@
     return cluster;
   }
 
-  /** Some user cancels an open job of a shard, if there is any, through the next controller. */
+  /**
+   * A user cancels an unfinished job of the shard, if there is one, through the next controller.
+   */
   private void cancelOne(SimCluster cluster, String shard) {
     for (int i = 0; i < jobs.size(); i++) {
       JobSpec spec = jobs.get((nextJob + i) % jobs.size());
@@ -68,7 +75,7 @@
     }
   }
 
-  /** From now on, users cancel after each step of any change of hands. */
+  /** From now on, users cancel after each step of every ownership change. */
   private void cancelAfterEachStep(SimCluster cluster) {
     ownershipChanges.listeners.add(
         (step, change) -> {
@@ -78,14 +85,14 @@
         });
   }
 
-  /** Users cancel jobs of a shard, one after the other. */
+  /** Users cancel jobs of a shard at a fixed interval. */
   private void cancelRepeatedly(SimCluster cluster, String shard, int number, long eachMs) {
     for (int i = 0; i < number; i++) {
       cluster.clock.after(eachMs * i, () -> cancelOne(cluster, shard));
     }
   }
 
-  /** Cancellations that users were told of in a part of the changes of hands. */
+  /** Number of cancellations confirmed in each part of the ownership changes. */
   private record ToldCancellations(
       long beforeOwnerRecord, long beforeFirstWrite, long beforeFirstPlacement) {
     long total() {
@@ -112,15 +119,20 @@
     return cluster.state.dataUnder("d/leases/").get("one").path("holders").path(0).asText();
   }
 
-  /** No start was recorded after a cancellation, and none but those on their way came about. */
+  /**
+   * No start was recorded after a cancellation, and only starts already in flight were carried out.
+   */
   private void assertNothingStarts(SimCluster cluster) {
     assertThat(cancelLog.startsAfterCancellation).isEmpty();
     assertThat(cluster.checks.startedAfterCancelMs)
-        .as("orders that were on their way")
+        .as("starts that were in flight")
         .allMatch(ms -> ms < ORDER_IN_FLIGHT_MS);
   }
 
-  /** The holder ends for good or for a moment; who takes its work over is another, or it itself. */
+  /**
+   * The owner crashes for long, so that another controller takes over, or restarts at once, so that
+   * it may take its own work over.
+   */
   @ParameterizedTest
   @CsvSource({"1,15000,0", "2,200,23", "4,15000,7", "5,200,55"})
   void cancelledWhileASuccessorTakesOver(long seed, long awayMs, long offsetMs)
@@ -138,14 +150,19 @@
     ToldCancellations toldCancels =
         countTold(
             ownershipChanges.changes.stream().filter(each -> each.shard.equals(shard)).toList());
-    assertThat(toldCancels.beforeOwnerRecord).as("told before the record").isPositive();
-    assertThat(toldCancels.beforeFirstWrite).as("told before the first write").isPositive();
-    assertThat(toldCancels.total()).as("told in the change of hands").isGreaterThan(4);
+    assertThat(toldCancels.beforeOwnerRecord)
+        .as("confirmed before the ownership record")
+        .isPositive();
+    assertThat(toldCancels.beforeFirstWrite).as("confirmed before the first write").isPositive();
+    assertThat(toldCancels.total()).as("confirmed during the ownership change").isGreaterThan(4);
     runAndVerify(cluster);
     assertNothingStarts(cluster);
   }
 
-  /** Another took a shard, and hands it back, with blocks and shares going from one to another. */
+  /**
+   * A controller that took over a shard hands it back, while blocks and shares are transferred
+   * between owners.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void cancelledWhileAShardIsHandedBack(long seed) throws MalformedException {
@@ -156,7 +173,8 @@
     assertThat(cluster.state.dataUnder("d/leases/").get("one").path("holders")).hasSize(5);
     cluster.crashOwner(5000);
     cluster.clock.runUntil(FAULTS_AT_MS + 15_900);
-    // Writes are some tens of milliseconds on their way: users are told of others meanwhile.
+    // Writes take some tens of milliseconds: users get confirmations of other cancellations
+    // meanwhile.
     cluster.slowStateService(10, 2500);
     cancelAfterEachStep(cluster);
     ownershipChanges.transferListeners.add(
@@ -169,11 +187,11 @@
     cluster.clock.runUntil(FAULTS_AT_MS + 60_000);
     ToldCancellations toldCancels =
         countTold(ownershipChanges.changes.stream().filter(each -> each.planned).toList());
-    assertThat(ownershipChanges.blocksTransferred).as("blocks handed on").isGreaterThan(10);
-    assertThat(ownershipChanges.sharesTransferred).as("shares handed on").isGreaterThan(10);
-    assertThat(handedOn[0]).as("handed on while users cancel").isGreaterThan(5);
+    assertThat(ownershipChanges.blocksTransferred).as("blocks transferred").isGreaterThan(10);
+    assertThat(ownershipChanges.sharesTransferred).as("shares transferred").isGreaterThan(10);
+    assertThat(handedOn[0]).as("transferred while users cancel").isGreaterThan(5);
     assertThat(toldCancels.beforeOwnerRecord + toldCancels.beforeFirstWrite)
-        .as("told between the last write of the old holder and the first of the new one")
+        .as("confirmed between the last write of the old owner and the first of the new one")
         .isGreaterThan(3);
     runAndVerify(cluster);
     assertNothingStarts(cluster);
--- a/src/test/java/dunlincroft/sim/CancellationCheckTest.java
+++ b/src/test/java/dunlincroft/sim/CancellationCheckTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The checks of cancellations find planted faults. */
+/** Verifies that the checks of cancellations detect planted faults. */
 class CancellationCheckTest extends OverlappingFaultsScenario {
-  /** A job that was cancelled, and whose user has been told. */
+  /** Returns a job that was cancelled and whose user has received the confirmation. */
   private JobSpec cancelledJob(SimCluster cluster) {
     JobSpec spec = InvariantsTest.batchJob("run-cancelled", "blue", 2, 1, 60, 0);
     cluster.submitAndFollow(spec, 8000);
@@ -27,7 +27,7 @@
     return spec;
   }
 
-  /** Plants a start, under the highest token there is. */
+  /** Sends a worker a start command under a fence token higher than any in use. */
   private static void sendPlantedStart(SimCluster cluster, SimWorker worker, JobSpec spec) {
     List<WorkerOrder> orders = List.of(WorkerOrder.run(spec.ref() + "/0", 7));
     ObjectNode body = WorkerOrder.body(1L << 40, orders).put("tenure", worker.session());
@@ -41,7 +41,10 @@
     cluster.net.call("10.0.0.1:8080", call, reply -> {});
   }
 
-  /** A controller that orders a start long after the cancellation; one in flight is counted. */
+  /**
+   * A start ordered after the cancellation was confirmed is counted, and breaks the rule if it was
+   * ordered too late.
+   */
   @ParameterizedTest
   @ValueSource(longs = {200, 4500, 20_000})
   void startsOrderedAfterTheConfirmationAreReported(long afterMs) throws MalformedException {
@@ -58,7 +61,7 @@
         .hasSize(afterMs > Constants.MAX_STALENESS_MS ? 1 : 0);
   }
 
-  /** An order that had left before is on its way: allowed, and counted. */
+  /** A start that was sent before the confirmation is in flight: it is allowed, and counted. */
   @Test
   void startsInFlightAreCounted() throws MalformedException {
     SimCluster cluster = busyCluster(1);
@@ -77,7 +80,10 @@
     assertThat(cluster.checks.violations).isEmpty();
   }
 
-  /** Cancelled tasks of a machine that nobody reaches and that hung; planted: without a lease. */
+  /**
+   * Cancelled tasks of machines that hang and that nobody can reach end with the lease. The planted
+   * fault is a worker that keeps its tasks when its lease expires.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void cancelledTasksRunningAfterAHangAreReported(boolean keepsTasks) throws MalformedException {
--- a/src/test/java/dunlincroft/sim/CapacityShortageTest.java
+++ b/src/test/java/dunlincroft/sim/CapacityShortageTest.java
@@ -15,14 +15,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Room is scarce: for all work at once, or in the one zone that a job may run in. */
+/**
+ * Guards against starvation when capacity is scarce: for all work, or in the one zone in which a
+ * job may run.
+ */
 class CapacityShortageTest extends OverlappingFaultsScenario {
   private static final String ZONE = "b";
 
-  /** Two tasks' time, and a change of the leader with its sync over slow links. */
+  /** The run time of two tasks, and a leader change with its synchronization over slow links. */
   private static final long URGENT_START_MS = 45_000;
 
-  /** What a job's tasks need of their place. */
+  /** Where a job's tasks may run. */
   private record PlacementConstraints(String zone, boolean samePlace, boolean spread) {
     static final PlacementConstraints ANY = new PlacementConstraints(null, false, false);
   }
@@ -64,8 +67,8 @@
   }
 
   /**
-   * More work than there is room for, over slow links, while leaders change. What is urgent begins
-   * before the rest that comes with it; the largest begin in time, and nobody is forgotten.
+   * More work than there is capacity for, over slow links, while leaders change. Urgent jobs start
+   * before the normal ones submitted with them; the largest start in time, and no job is starved.
    */
   @ParameterizedTest
   @CsvSource({"1,0", "2,4000", "4,15000"})
@@ -118,17 +121,17 @@
     }
     cluster.clock.runUntil(180_000);
     assertThat(incarnations)
-        .as("leaders that ended, each life of a process for itself")
+        .as("leaders that crashed, each incarnation counted")
         .hasSizeGreaterThan(2);
-    assertThat(leaders).as("of different nodes").hasSizeGreaterThan(1);
+    assertThat(leaders).as("nodes that were leader").hasSizeGreaterThan(1);
     assertThat(changesAtCapacity[0])
-        .as("changes of leader while all machines were full")
+        .as("leader changes while all machines were full")
         .isGreaterThan(2);
     assertThat(urgent)
-        .as("urgent work begins soon")
+        .as("urgent jobs start soon")
         .allMatch(spec -> cluster.checks.startDelayMs(spec.ref()) < URGENT_START_MS);
     assertThat(medianWait(cluster, urgent) * 2)
-        .as("before the rest")
+        .as("urgent jobs start before normal ones")
         .isLessThan(medianWait(cluster, normal));
     runAndVerify(cluster);
     assertThat(cluster.checks.largestStartedLate()).isEmpty();
@@ -152,8 +155,9 @@
   }
 
   /**
-   * Jobs of one zone, of any one zone, and spread over zones lose the machines of a zone, which has
-   * no others to rent for a while. They run in no other place than they may, and end all the same.
+   * Jobs that are bound to one zone, to any single zone, or spread over zones lose the machines of
+   * a zone in which no others can be rented for a while. They run only where they may, and still
+   * end.
    */
   @ParameterizedTest
   @CsvSource({
@@ -197,14 +201,14 @@
     cluster.clock.runUntil(FAULTS_AT_MS + 20_000);
     if (loss == Loss.MACHINES_DIE) {
       assertThat(runningTasksOf(zoneBound, List.copyOf(cluster.cloud.machines.values())))
-          .as("nowhere else")
+          .as("zone-bound tasks in other zones")
           .isZero();
     }
     runAndVerify(cluster);
     assertThat(cluster.checks.minDoneShare()).isEqualTo(1);
   }
 
-  /** Takes a zone's machines, and sees to it that they had tasks of the jobs that are bound. */
+  /** Takes down a zone's machines, and asserts that they ran tasks of the zone-bound jobs. */
   private static void loseZone(
       SimCluster cluster, Loss loss, List<JobSpec> zoneBound, List<JobSpec> others) {
     List<SimWorker> lostWorkers =
@@ -213,11 +217,11 @@
             .filter(worker -> loss != Loss.SPOT_WAVE || worker.spot)
             .toList();
     assertThat(runningTasksOf(zoneBound, lostWorkers))
-        .as("tasks of the zone's jobs that are lost")
+        .as("lost tasks of zone-bound jobs")
         .isGreaterThan(5);
     if (loss != Loss.SPOT_WAVE) {
       assertThat(runningTasksOf(others, lostWorkers))
-          .as("tasks of others that are lost")
+          .as("lost tasks of other jobs")
           .isGreaterThan(2);
     }
     if (loss == Loss.ZONE_CUT) {
--- a/src/test/java/dunlincroft/sim/CommandReorderingTest.java
+++ b/src/test/java/dunlincroft/sim/CommandReorderingTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Commands of a leader that has ended or was deposed, held up on their way, arrive after newer ones
- * of its successor: one test for each order of the two. A command that a worker's token refuses by
- * then has arrived all the same.
+ * Guards against delayed commands of a leader that crashed or was deposed, which arrive after newer
+ * commands of its successor: one test for each pair of commands. A command that a worker rejects by
+ * its fence token counts as arrived.
  */
 class CommandReorderingTest extends OverlappingFaultsScenario {
   private static final long END_MS = 450_000;
@@ -38,7 +38,7 @@
     return task.substring(0, task.indexOf('/'));
   }
 
-  /** The holder ends, or is alone with its workers and users from now on. */
+  /** The owner crashes, or is partitioned from everything but its workers and users from now on. */
   private static String removeOwner(SimCluster cluster, boolean crashes) {
     String oldOwner = cluster.ownerName();
     if (crashes) {
@@ -49,12 +49,12 @@
     return cluster.nodeAddress(cluster.nodeIndex(oldOwner));
   }
 
-  /** Takes orders of a command that is held up. */
+  /** Receives the orders of a command that is delayed. */
   private interface OrderHandler {
     void handle(SimWorker worker, JsonNode order);
   }
 
-  /** Holds up the commands of the holder that have such an order, for so long. */
+  /** For a while, delays the owner's commands that contain an order with this verb. */
   private static void delayCommands(
       SimCluster cluster, String verb, long ms, OrderHandler handler) {
     String ownerAddress = cluster.nodeAddress(cluster.nodeIndex(cluster.ownerName()));
@@ -74,7 +74,7 @@
     delayCommands(cluster, verb, ms, (worker, order) -> {});
   }
 
-  /** Jobs of one task each, from now on. */
+  /** Submits jobs of one task each, from now on. */
   private void submitSingleTaskJobs(SimCluster cluster, int number, long eachMs, double seconds) {
     for (int i = 0; i < number; i++) {
       JobSpec spec = InvariantsTest.batchJob("run-late-" + i, "blue", 1, 1, seconds, 0);
@@ -86,12 +86,14 @@
     return order.path("verb").asText().equals(verb);
   }
 
-  /** Whether a late order and one that was carried out before it are those that are meant. */
+  /** Selects the pairs of a late order and an earlier executed one that a test looks for. */
   private interface OrderPairFilter {
     boolean matches(Arrival late, JsonNode order, ExecutedOrder done);
   }
 
-  /** Pairs of a late order and one that was carried out before it on its machine. */
+  /**
+   * Counts the pairs of a late order and an order that was executed before it on the same machine.
+   */
   private static int countLateOrders(
       SimCluster cluster, String lateVerb, String verb, OrderPairFilter pairFilter) {
     int matching = 0;
@@ -110,8 +112,8 @@
   }
 
   /**
-   * Run after cancel: starts are held up as their machines are cut off, the leader goes, users are
-   * told that the jobs are cancelled, and then the machines carry the starts out.
+   * Run after cancel: starts are delayed while their machines are cut off, the leader is removed,
+   * users are told that the jobs are cancelled, and then the machines execute the starts.
    */
   @ParameterizedTest
   @CsvSource({"1,true,9000", "2,false,6000", "3,true,7000"})
@@ -145,15 +147,15 @@
                 done ->
                     cluster.checks.cancelConfirmedAt.get(jobOf(done.task())) < done.executedAt())
             .toList();
-    assertThat(carriedOut).as("starts carried out after the user was told").isNotEmpty();
+    assertThat(carriedOut).as("starts executed after the confirmation").isNotEmpty();
     assertThat(cluster.checks.startsAfterCancellation.inFlight).isPositive();
     cancelServices(cluster);
     runAndVerifyBy(cluster, END_MS);
   }
 
   /**
-   * Run after reap: the try was started by an answer to a report, ended and was reaped before the
-   * direct order, which was held up, is there.
+   * Run after reap: the attempt was started by an acknowledgement of a report, ended, and was
+   * reaped before the delayed direct order arrives.
    */
   @ParameterizedTest
   @CsvSource({"1,true,4000", "2,false,4000", "3,true,11000", "4,false,13000"})
@@ -178,12 +180,15 @@
     runAndVerifyBy(cluster, END_MS);
   }
 
-  /** A job that only machines of the second zone may run. */
+  /** Returns the job restricted to machines of the second zone. */
   private static JobSpec inOneZone(JobSpec spec, String rank) throws MalformedException {
     return JobSpec.parse(spec.toNode().put("hall", "b").put("rank", rank));
   }
 
-  /** Reap after a second try's run, on one machine: two machines, and many stops for others. */
+  /**
+   * Reap after the run of a second attempt on the same machine: there are two machines, and many
+   * preemptions.
+   */
   @ParameterizedTest
   @CsvSource({"1,true", "2,false", "3,true"})
   void reapArrivesAfterTheSecondAttempt(long seed, boolean crashes) throws MalformedException {
@@ -206,14 +211,14 @@
     int lateReaps =
         countLateOrders(
             cluster, "reap", "run", (late, order, done) -> done.sentAt() > late.sentAt());
-    assertThat(lateReaps).as("reaps that arrived after a later try's start").isPositive();
+    assertThat(lateReaps).as("reaps that arrived after the start of a later attempt").isPositive();
     cancelServices(cluster);
     runAndVerifyBy(cluster, END_MS);
   }
 
   /**
-   * A release arrives late: the leader took machines for dead, asked for their release and ended;
-   * its successor heard them and has begun tasks there.
+   * A release arrives late: the leader took machines for dead, requested their release and was
+   * removed; its successor received reports from them and has started tasks there.
    */
   @ParameterizedTest
   @CsvSource({"1,true", "2,false", "3,true"})
@@ -245,7 +250,7 @@
             .count();
     long before = cluster.cloud.tasksLostToRelease;
     cluster.clock.runUntil(removedAt + cluster.net.delayedCommands.fixedDelayMs + 100);
-    assertThat(successorTasks).as("tasks of the successor's as the release came").isPositive();
+    assertThat(successorTasks).as("tasks of the successor when the release arrived").isPositive();
     assertThat(cluster.cloud.tasksLostToRelease - before).isPositive();
     cancelServices(cluster);
     runAndVerifyBy(cluster, END_MS);
--- a/src/test/java/dunlincroft/sim/DelayedCommandsTest.java
+++ b/src/test/java/dunlincroft/sim/DelayedCommandsTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Single commands are held up on their way while reports go on, of jobs that are cancelled as they
- * start, and their team is at its limit: room that is given away too early shows at once.
+ * Guards against releasing a team's quota too early. Single commands are delayed while reports
+ * still arrive; their jobs are cancelled as they start, and their team is at its limit, so that
+ * quota released too early exceeds the limit at once.
  */
 class DelayedCommandsTest {
   private static final int JOBS = 160;
@@ -35,8 +36,8 @@
     cluster.clock.runUntil(100_000);
     cluster.net.delayedCommandShare = 0;
     cluster.clock.runUntil(500_000);
-    assertThat(cluster.net.commandsAfterTimeout).as("commands held up").isGreaterThan(5);
-    assertThat(cluster.checks.cancelConfirmedAt).as("cancelled").hasSizeGreaterThan(50);
+    assertThat(cluster.net.commandsAfterTimeout).as("commands delayed").isGreaterThan(5);
+    assertThat(cluster.checks.cancelConfirmedAt).as("cancelled jobs").hasSizeGreaterThan(50);
     assertThat(cluster.checks.violations).isEmpty();
     assertThat(cluster.checks.finalStates).as("every job ends").hasSize(JOBS);
   }
--- a/src/test/java/dunlincroft/sim/DelayedReportsTest.java
+++ b/src/test/java/dunlincroft/sim/DelayedReportsTest.java
@@ -7,9 +7,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Old reports come when another has begun to act, at all controllers or at the new holder. */
+/**
+ * Guards against worker reports that arrive late, after another controller has begun to act as
+ * owner: copies at all controllers, or delayed reports at the new owner.
+ */
 class DelayedReportsTest extends OverlappingFaultsScenario {
-  /** Changes of the holder, some of them to another and some to its own next life. */
+  /**
+   * Owner crashes, some followed by a takeover by another controller and some by a restart of the
+   * same one.
+   */
   private static void crashOwners(SimCluster cluster, int number, long eachMs) {
     for (int i = 0; i < number; i++) {
       boolean restarts = i % 2 == 1;
@@ -22,7 +28,7 @@
         seed, seed % 2 == 0 ? Policy.parse("holder_machines = 12;") : Policy.DEFAULT);
   }
 
-  /** Copies of reports reach every controller within the second in which a new one begins. */
+  /** Copies of reports reach every controller within a second of a new owner's start. */
   @ParameterizedTest
   @CsvSource({"1,6000", "2,11000", "3,16000", "4,9000"})
   void oldReportsReachEveryControllerAsANewOwnerStarts(long seed, long eachMs)
@@ -39,13 +45,13 @@
     cluster.clock.runUntil(125_000);
     for (int node = 0; node < cluster.nodeCount(); node++) {
       assertThat(cluster.delayedHeartbeats.staleCopiesAtTakeover[node])
-          .as("old copies at n%d within a second of a beginning", node)
+          .as("old copies at n%d within a second of a start as owner", node)
           .isGreaterThan(20);
     }
     runAndVerify(cluster);
   }
 
-  /** Reports that are held up arrive at the new holder when it has answered their worker. */
+  /** Delayed reports arrive at the new owner after it has answered the worker that sent them. */
   @ParameterizedTest
   @CsvSource({"1,6000", "2,11000", "3,16000", "4,25000"})
   void delayedReportsArriveAfterTheNewOwnerHasAnswered(long seed, long eachMs)
@@ -59,7 +65,7 @@
     cluster.clock.after(8000, () -> cancelEveryNth(cluster, 4, 2500));
     cluster.clock.runUntil(130_000);
     assertThat(cluster.delayedHeartbeats.staleAfterAnswer)
-        .as("old reports at the new holder after it had answered their worker")
+        .as("old reports at the new owner after it had answered their worker")
         .isGreaterThan(10);
     runAndVerify(cluster);
   }
--- a/src/test/java/dunlincroft/sim/EvictedFinalStatesTest.java
+++ b/src/test/java/dunlincroft/sim/EvictedFinalStatesTest.java
@@ -13,14 +13,19 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that were over long ago, and of whose ends no controller remembers anything. */
+/**
+ * Guards against wrong answers about jobs that ended long ago and whose final states every
+ * controller has evicted from memory.
+ */
 class EvictedFinalStatesTest {
   private static final int EVICTED = 60;
 
-  /** So long the controllers read, a few keys at a time. */
+  /** Time the controllers need to read all records, a few keys at a time. */
   private static final long INITIAL_READ_MS = 120_000;
 
-  /** The job's end as the state service keeps it, and as its user was told long ago. */
+  /**
+   * Records a job's final state as the state service keeps it and as its user was told long ago.
+   */
   private static JobSpec createEndedJob(SimCluster cluster, int number) {
     String ref = String.format("run-old-%06d", number);
     String state = number % 2 == 0 ? "done" : "withdrawn";
@@ -34,7 +39,7 @@
     return spec;
   }
 
-  /** Questions, submissions and cancellations at every node give the final state. */
+  /** Queries, submissions and cancellations at every node are answered with the final state. */
   @Test
   void everyNodeAnswersEvictedFinalStates() throws MalformedException {
     SimCluster cluster = new SimCluster(1, Policy.DEFAULT, Size.SMALL);
@@ -62,7 +67,7 @@
     }
     cluster.clock.runUntil(INITIAL_READ_MS + 30_000);
     assertThat(cluster.checks.violations).isEmpty();
-    assertThat(lookups[0]).as("ends that were looked up").isGreaterThan(2 * jobQueries);
+    assertThat(lookups[0]).as("final states looked up").isGreaterThan(2 * jobQueries);
     assertThat(cluster.state.dataUnder("d/jobs/"))
         .hasSize(Constants.MAX_ENDED_JOBS_IN_MEMORY + EVICTED);
   }
--- a/src/test/java/dunlincroft/sim/FailureDetectionTest.java
+++ b/src/test/java/dunlincroft/sim/FailureDetectionTest.java
@@ -17,13 +17,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What sounds alive and is not, and what is old: machines that do not hear, late copies of reports,
- * workers that begin anew under their old names, a controller alone with its workers.
+ * Failure detection of workers and controllers: workers that do not receive acknowledgements,
+ * delayed copies of reports, workers that restart under the same host name, and an owner that is
+ * partitioned from everything but its workers.
  */
 class FailureDetectionTest {
   private static final long FAULT_AT_MS = 30_000;
 
-  /** What a cluster must show once all is over. */
+  /**
+   * Plays to the end: no rule is broken, every job ends, and no block lists a machine that is gone.
+   */
   static void assertRecovered(SimCluster cluster) {
     cluster.clock.runUntil(600_000);
     assertThat(cluster.checks.violations).isEmpty();
@@ -51,7 +54,10 @@
     return cluster;
   }
 
-  /** Services with a replica on some of these machines, all of whose replicas run. */
+  /**
+   * Services with a replica on one of these machines that currently have all their replicas
+   * running.
+   */
   static Set<String> fullyRunningServices(SimCluster cluster, List<SimWorker> workers) {
     Set<String> refs = new HashSet<>();
     workers.forEach(worker -> refs.addAll(services(worker)));
@@ -77,11 +83,12 @@
   }
 
   /**
-   * Five of the fullest machines go on reporting and hear nothing. Their services are whole again
-   * elsewhere soon after the third report without an answer. With few controllers there, each
-   * report reaches the holder and sounds as if all were well, or comes back to the same other one
-   * and sounds as if the holder were not there. Machines are rented where replicas may go: as many
-   * as the number says once left some of them without room in the zones that were left to them.
+   * The five machines with the most services keep reporting but receive no acknowledgements. Their
+   * services must run elsewhere soon after the third unanswered report. With few controllers, each
+   * report may reach the owner, which makes the machine look healthy, or go to the same other
+   * controller every time, which makes the owner look unavailable. Replacement machines must be
+   * rented in zones that the replicas may use: renting only by total number once left some replicas
+   * without capacity in the remaining zones.
    */
   @ParameterizedTest
   @CsvSource({
@@ -108,7 +115,7 @@
     cluster.clock.runUntil(FAULT_AT_MS + 3000);
     List<SimWorker> unacknowledged = withMostServices(cluster, 5);
     Set<String> affected = fullyRunningServices(cluster, unacknowledged);
-    // The other team's limit is full: what it has lost room of waits for other work of its own.
+    // The other team is at its limit: its lost replicas wait for its own work to end.
     affected.removeIf(ref -> !cluster.specOf(ref).team().equals("blue"));
     unacknowledged.forEach(worker -> worker.loseInbound(120_000));
     assertThat(affected).hasSizeGreaterThan(5);
@@ -120,7 +127,7 @@
         thirdUnansweredAt = cluster.clock.now();
       }
     }
-    assertThat(cluster.ownerName()).as("no fault of the holder's").isEqualTo("n" + ownerNode);
+    assertThat(cluster.ownerName()).as("the owner did not fail").isEqualTo("n" + ownerNode);
     cluster.clock.runUntil(thirdUnansweredAt + 5000);
     int runningReplicas =
         affected.stream()
@@ -131,7 +138,7 @@
     assertRecovered(cluster);
   }
 
-  /** What is over before it is acted on costs no machine. */
+  /** A loss of acknowledgements that ends before the controllers act on it releases no machine. */
   @Test
   void briefInboundLossReleasesNoMachine() throws MalformedException {
     SimCluster cluster = busy(22, Size.FLEET);
@@ -142,7 +149,10 @@
     assertRecovered(cluster);
   }
 
-  /** Our own sending side is broken: nothing is released for it at once. */
+  /**
+   * If no worker receives acknowledgements, the fault is on the controllers' side: no machine is
+   * released at once.
+   */
   @Test
   void lossOfAllAcknowledgementsReleasesNoMachine() throws MalformedException {
     SimCluster cluster = busy(23, Size.FLEET);
@@ -153,8 +163,9 @@
   }
 
   /**
-   * Copies of three reports in ten come up to 200 s late, at any controller, beside restarts and
-   * takeovers. No released machine is taken for a new one, and none that is gone gets work.
+   * Copies of three reports in ten arrive up to 200 s late, at any controller, during restarts and
+   * takeovers. A copy must not make a released machine look like a new one, nor get work for a
+   * machine that is gone.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -180,7 +191,7 @@
     assertThat(cluster.checks.returnedMachines).isEmpty();
   }
 
-  /** A machine that is gone sounds alive at a new holder only to who believes copies. */
+  /** Report copies must not make a new owner take a dead machine for a live one. */
   @Test
   void newOwnerStartsNothingOnMachinesKnownOnlyFromReportCopies() throws MalformedException {
     SimCluster cluster = busy(24, Size.FLEET);
@@ -201,8 +212,8 @@
   }
 
   /**
-   * A worker ends and is back under its old name within a fraction of a second, at each step of a
-   * takeover: its tasks are ordered again there, and none runs twice.
+   * A worker crashes and restarts under the same host name within a fraction of a second, at each
+   * step of a takeover: its tasks are ordered there again, and none runs twice.
    */
   @ParameterizedTest
   @ValueSource(longs = {-1, 0, 100, 300, 700, 1100, 1500, 2500})
@@ -218,11 +229,14 @@
     cluster.clock.runUntil(cluster.clock.now() + 9000);
     assertThat(affected)
         .allMatch(ref -> cluster.checks.running(ref) == cluster.specOf(ref).taskCount());
-    assertThat(restarted).as("kept").noneMatch(worker -> worker.terminated);
+    assertThat(restarted).as("machines not released").noneMatch(worker -> worker.terminated);
     assertRecovered(cluster);
   }
 
-  /** The busiest loses state service and other controllers, not its workers and users. */
+  /**
+   * The busiest controller is cut off from the state service and the other controllers, but not
+   * from its workers and users. It must not keep users or work from the new owner.
+   */
   @ParameterizedTest
   @ValueSource(longs = {6000, 25_000, 60_000})
   void isolatedOwnerIsReplaced(long ms) throws MalformedException {
@@ -230,7 +244,8 @@
     String isolated = cluster.ownerName();
     cluster.cutOwnerFromControllers(ms);
     JobSpec late = InvariantsTest.batchJob("run-late", "blue", 200, 1);
-    // Its user comes to another one: connections to the one that is alone are reset only later.
+    // The user of this job connects to another controller: connections to the isolated one are
+    // reset only later.
     cluster.pinConnection(late.ref(), (cluster.nodeIndex(isolated) + 1) % cluster.nodeCount());
     cluster.clock.after(1000, () -> cluster.submitAndFollow(late, 0));
     cluster.clock.runUntil(FAULT_AT_MS + 9000);
@@ -240,7 +255,10 @@
     assertRecovered(cluster);
   }
 
-  /** Processes that are back at once, at every step of an election and of what follows. */
+  /**
+   * Controllers restart within a fraction of a second, at every step of an election and of the
+   * takeover after it.
+   */
   @ParameterizedTest
   @ValueSource(longs = {0, 50, 150, 250, 400, 600, 900, 1300, 1800, 2600})
   void restartsDuringAnElection(long after) throws MalformedException {
@@ -260,7 +278,10 @@
     assertRecovered(cluster);
   }
 
-  /** The check itself can fail: nobody is answered once the state service stays away. */
+  /**
+   * The check itself can fail: if the state service stays unavailable, unanswered jobs are
+   * reported.
+   */
   @Test
   void unansweredJobIsReported() throws MalformedException {
     SimCluster cluster = busy(28, Size.FLEET);
--- a/src/test/java/dunlincroft/sim/FairnessUnderLoadTest.java
+++ b/src/test/java/dunlincroft/sim/FairnessUnderLoadTest.java
@@ -13,94 +13,95 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * What the operators' own days hold: restarts within a fraction of a second beside a load that
- * tries to starve a class or a team. Less than half of any of them served is a failed day.
+ * Guards against starvation of a job class or a team: controllers restart within a fraction of a
+ * second during a load that favours other classes or teams. The test fails if less than half of the
+ * jobs of any class or team is served.
  */
 class FairnessUnderLoadTest {
   private static final long SERVED_WITHIN_MS = 60_000;
   private static final double MIN_SERVED_SHARE = 0.5;
   private static final long RESTART_MS = 200;
 
-  /** A day's load beyond the usual one, and what fails on it. */
+  /** The additional load of a simulated day, and the faults on it. */
   private enum LoadScenario {
     BURST_OF_EVERY_OTHER_CLASS(
-        day -> {
+        test -> {
           for (int i = 0; i < 100; i++) {
-            day.submit(30_000 + 100L * i, "copy", "blue", 30);
-            day.submit(30_000 + 100L * i, "serve", "blue", 3);
+            test.submit(30_000 + 100L * i, "copy", "blue", 30);
+            test.submit(30_000 + 100L * i, "serve", "blue", 3);
           }
         }),
     A_TEAM_AT_TEN_TIMES_ITS_RATE(
-        day -> {
+        test -> {
           for (int i = 0; i < 400; i++) {
-            day.submit(20_000 + 150L * i, "copy", "blue", 4);
+            test.submit(20_000 + 150L * i, "copy", "blue", 4);
           }
         }),
     ONE_HUGE_ARRAY_BESIDE_SMALL_JOBS(
-        day -> {
-          day.submit(20_000, "huge", "blue", 4000);
+        test -> {
+          test.submit(20_000, "huge", "blue", 4000);
           for (int i = 0; i < 100; i++) {
-            day.submit(25_000 + 300L * i, "small", "blue", 1);
+            test.submit(25_000 + 300L * i, "small", "blue", 1);
           }
         }),
     ONE_ZONE_OF_THE_ONLY_TYPE(
-        day -> {
-          day.cluster.cloud.zonesWithoutCapacity.addAll(List.of("a", "c"));
+        test -> {
+          test.cluster.cloud.zonesWithoutCapacity.addAll(List.of("a", "c"));
           for (int i = 0; i < 60; i++) {
-            day.submit(30_000 + 200L * i, "copy", "blue", 8);
+            test.submit(30_000 + 200L * i, "copy", "blue", 8);
           }
         }),
     ALL_CRASH_DURING_A_BURST(
-        day -> {
+        test -> {
           for (int i = 0; i < 150; i++) {
-            day.submit(30_000 + 60L * i, "copy", "blue", 8);
+            test.submit(30_000 + 60L * i, "copy", "blue", 8);
           }
-          day.cluster.clock.after(34_000, () -> day.cluster.crashAll(RESTART_MS));
-          day.cluster.clock.after(35_500, () -> day.cluster.crashAll(RESTART_MS));
+          test.cluster.clock.after(34_000, () -> test.cluster.crashAll(RESTART_MS));
+          test.cluster.clock.after(35_500, () -> test.cluster.crashAll(RESTART_MS));
         }),
     STATE_SERVICE_DOWN_DURING_A_BURST(
-        day -> {
+        test -> {
           for (int i = 0; i < 150; i++) {
-            day.submit(30_000 + 60L * i, "copy", "blue", 8);
+            test.submit(30_000 + 60L * i, "copy", "blue", 8);
           }
-          day.cluster.clock.after(33_000, () -> day.cluster.state.outage(15_000));
-          day.cluster.clock.after(36_000, () -> day.cluster.crashAll(RESTART_MS));
+          test.cluster.clock.after(33_000, () -> test.cluster.state.outage(15_000));
+          test.cluster.clock.after(36_000, () -> test.cluster.crashAll(RESTART_MS));
         }),
     A_LARGE_ARRAY_AMONG_SMALL_ONES(
-        day -> {
-          day.submitContinuously("small", 4);
-          day.submit(25_000, "small", "blue", 700);
+        test -> {
+          test.submitContinuously("small", 4);
+          test.submit(25_000, "small", "blue", 700);
         }),
     A_LARGE_SERVICE_BESIDE_SINGLE_ONES(
-        day -> {
+        test -> {
           for (int i = 0; i < 150; i++) {
-            day.submit(20_000 + 400L * i, "serve", "blue", 1);
+            test.submit(20_000 + 400L * i, "serve", "blue", 1);
           }
-          day.submit(40_000, "serve", "blue", 12);
-          day.submitContinuously("copy", 3);
+          test.submit(40_000, "serve", "blue", 12);
+          test.submitContinuously("copy", 3);
         }),
     A_JOB_AS_LARGE_AS_ITS_TEAMS_LIMIT(
-        day -> {
+        test -> {
           for (int i = 0; i < 120; i++) {
-            day.submit(20_000 + 500L * i, "copy", "red", 3);
+            test.submit(20_000 + 500L * i, "copy", "red", 3);
           }
-          day.submit(40_000, "copy", "red", 40);
-          day.submitContinuously("copy", 3);
+          test.submit(40_000, "copy", "red", 40);
+          test.submitContinuously("copy", 3);
         }),
     A_JOB_AS_LARGE_AS_A_ZONE(
-        day -> {
-          day.submitContinuously("small", 4);
-          day.samePlace = true;
-          day.submit(30_000, "zonal", "blue", 320);
-          day.samePlace = false;
+        test -> {
+          test.submitContinuously("small", 4);
+          test.samePlace = true;
+          test.submit(30_000, "zonal", "blue", 320);
+          test.samePlace = false;
         }),
     MACHINES_FAIL_DURING_A_BURST(
-        day -> {
+        test -> {
           for (int i = 0; i < 100; i++) {
-            day.submit(30_000 + 60L * i, "copy", "blue", 8);
+            test.submit(30_000 + 60L * i, "copy", "blue", 8);
           }
-          day.cluster.clock.after(40_000, day::killEveryFourthMachine);
-          day.cluster.clock.after(41_000, () -> day.cluster.crashOwner(RESTART_MS));
+          test.cluster.clock.after(40_000, test::killEveryFourthMachine);
+          test.cluster.clock.after(41_000, () -> test.cluster.crashOwner(RESTART_MS));
         });
 
     private final Consumer<FairnessUnderLoadTest> schedule;
@@ -110,7 +111,7 @@
     }
   }
 
-  /** More than there is room for, for two minutes, and always small. */
+  /** Submits small jobs for two minutes, more than there is capacity for. */
   private void submitContinuously(String jobclass, int tasks) {
     for (int i = 0; i < 400; i++) {
       submit(15_000 + 300L * i, jobclass, "blue", tasks);
--- a/src/test/java/dunlincroft/sim/FaultCombinationsTest.java
+++ b/src/test/java/dunlincroft/sim/FaultCombinationsTest.java
@@ -15,18 +15,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Each meeting of troubles that the operators name, brought about and shown to have happened; the
- * gap has a test of its own.
+ * Guards against the combinations of faults that the operators name. Each test injects one
+ * combination and asserts that the faults did overlap. {@link CancelBeforeStateOutageTest} tests
+ * cancellations before an outage of the state service.
  */
 class FaultCombinationsTest extends OverlappingFaultsScenario {
-  /** When the state service begins to refuse the holder alone, and is down for all. */
+  /**
+   * Times at which the state service begins to refuse only the owner, and to be down for everybody.
+   */
   private static final long OWNER_REFUSED_AT_MS = FAULTS_AT_MS + 4000;
 
   private static final long OUTAGE_AT_MS = FAULTS_AT_MS + 6500;
 
   /**
-   * The holder is alone with its workers and users, some of which nobody else reaches, and jobs are
-   * cancelled through the new one. The old one goes on answering those workers for a while.
+   * The owner is partitioned from everything but its workers and users, some workers reach nobody
+   * else, and jobs are cancelled through the new owner. The old owner keeps answering those workers
+   * for a while.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -46,7 +50,7 @@
     cancelEveryNth(cluster, 3, 300);
     cluster.clock.runUntil(FAULTS_AT_MS + 30_000);
     assertThat(ownWorkers)
-        .as("answered by the old one after the change of hands")
+        .as("answered by the old owner after the takeover")
         .anyMatch(
             worker ->
                 worker.renewedBy == cluster.nodeIndex(oldOwner)
@@ -55,7 +59,7 @@
     runAndVerify(cluster);
   }
 
-  /** Transactions without an answer are carried out seconds later, after newer ones. */
+  /** Transactions without a response are applied seconds later, after newer ones. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void transactionsAreAppliedAfterNewerOnes(long seed) throws MalformedException {
@@ -73,8 +77,9 @@
   }
 
   /**
-   * A leader's zone is cut off, and another leads when the cloud answers its rentals. It once made
-   * blocks of these machines under its successor's stamp, beside those that this one made of them.
+   * A leader's zone is cut off, and another controller leads when the cloud answers its rental
+   * requests. The deposed leader once made blocks of these machines under its successor's stamp, in
+   * addition to those that the successor made of them.
    */
   @ParameterizedTest
   @ValueSource(longs = {5, 6, 7, 8})
@@ -91,19 +96,22 @@
     cluster.delayWrites(0.5, 30_000);
     cluster.clock.runUntil(FAULTS_AT_MS + 8000);
     assertThat(cluster.state.dataUnder("d/leader/").get("one").path("name").asText())
-        .as("another leads as the cloud answers")
+        .as("another controller leads when the cloud answers")
         .isNotEqualTo(oldLeader);
-    // The cut is over: what the cloud answers from here on arrives.
+    // The partition is over: answers of the cloud from here on arrive.
     int before = cluster.cloud.rentalsForDeposedLeaders;
     cluster.clock.runUntil(FAULTS_AT_MS + 30_000);
     assertThat(cluster.cloud.rentalsForDeposedLeaders - before)
-        .as("rentals answered to the deposed one, with machines")
+        .as("rental answers with machines to the deposed leader")
         .isPositive();
     cluster.cloud.answerDelayMs = 0;
     runAndVerify(cluster);
   }
 
-  /** The same with a state service that ignores all guards: the checks see what they prevent. */
+  /**
+   * The same with a state service that ignores all guards: the checks report what the guards
+   * prevent.
+   */
   @Test
   void withoutGuardsDelayedTransactionsAreReported() throws MalformedException {
     int broken = 0;
@@ -122,8 +130,8 @@
   }
 
   /**
-   * All end, one is back within a moment and takes everything, and ends again at each step of that;
-   * then the others are back.
+   * All controllers crash, one restarts within a fraction of a second, takes over everything, and
+   * crashes again at each step of that; then the others restart.
    */
   @ParameterizedTest
   @CsvSource({"0,0", "1,120", "2,250", "3,400", "4,700", "0,1100", "1,1600", "2,2400"})
@@ -140,16 +148,16 @@
     cluster.clock.runUntil(FAULTS_AT_MS + 150 + afterMs);
     cluster.crash(firstRestarted, 200);
     cluster.clock.runUntil(FAULTS_AT_MS + 11_000);
-    assertThat(cluster.ownerName()).as("back within a second").isEqualTo("n" + firstRestarted);
+    assertThat(cluster.ownerName()).as("restarted within a second").isEqualTo("n" + firstRestarted);
     cluster.clock.after(3000, () -> cluster.crash(firstRestarted, 30_000));
     cluster.clock.after(4500, () -> cluster.crashOwner(200));
     cluster.clock.runUntil(FAULTS_AT_MS + 60_000);
     assertThat(sum(cluster, worker -> worker.staleCopies)).isGreaterThan(20);
     runAndVerify(cluster);
-    assertThat(starts.reusedAttempts).as("tries given by two lives").isEmpty();
+    assertThat(starts.reusedAttempts).as("attempt numbers assigned by two incarnations").isEmpty();
   }
 
-  /** Reports of earlier sessions and attempts come after newer ones, at new holders. */
+  /** Reports of earlier sessions and attempts arrive after newer ones, at new owners. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void oldReportsArriveAfterNewerOnes(long seed) throws MalformedException {
@@ -172,7 +180,7 @@
     runAndVerify(cluster);
   }
 
-  /** Commands and their answers are held up for seconds, and the machines then go on. */
+  /** Commands and their responses are delayed for seconds, after which the machines go on. */
   @ParameterizedTest
   @CsvSource({"1,4000", "2,9000", "3,15000", "4,18500"})
   void commandsAreDelayed(long seed, long ms) throws MalformedException {
@@ -191,7 +199,7 @@
     runAndVerify(cluster);
   }
 
-  /** Tasks of small jobs end far apart, with a change of the holder between them. */
+  /** Tasks of small jobs end far apart, with a change of the owner between them. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void smallJobsEndAcrossOwnerChanges(long seed) throws MalformedException {
@@ -217,7 +225,7 @@
           });
     }
     cluster.clock.runUntil(100_000);
-    assertThat(partlyDone[0]).as("jobs with some tasks done at a change").isGreaterThan(10);
+    assertThat(partlyDone[0]).as("jobs partly done at an owner change").isGreaterThan(10);
     runAndVerify(cluster);
     assertThat(starts.doneCount()).isGreaterThan(100);
     assertThat(starts.startsOfDoneTasks).as("tasks recorded as done that start again").isEmpty();
@@ -229,9 +237,9 @@
   }
 
   /**
-   * The state service is slow, refuses the holder alone while users are told of cancellations
-   * through others, then is down for everybody for longer than {@code cancel_s}, while workers go
-   * on reporting and users go on asking.
+   * The state service is slow, then refuses only the owner while users get cancellations confirmed
+   * through other controllers, then is down for everybody for longer than {@code cancel_s}, while
+   * workers keep reporting and users keep polling.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
@@ -252,17 +260,17 @@
     cancelEveryNth(cluster, 2, 250);
     cluster.clock.runUntil(OUTAGE_AT_MS);
     assertThat(cluster.checks.cancelConfirmedAt).hasSizeGreaterThan(3);
-    assertThat(cluster.ownerName()).as("holds as the outage begins").isEqualTo(oldOwner);
+    assertThat(cluster.ownerName()).as("owner as the outage begins").isEqualTo(oldOwner);
     assertThat(cluster.checks.cancelConfirmedAt.values())
-        .as("told while the holder is refused alone")
+        .as("confirmed while only the owner is refused")
         .anyMatch(at -> at > OWNER_REFUSED_AT_MS + 500 && at <= OUTAGE_AT_MS);
-    assertThat(written[cluster.nodeIndex(oldOwner)]).as("written by the holder").isZero();
-    assertThat(IntStream.of(written).sum()).as("written by others").isPositive();
+    assertThat(written[cluster.nodeIndex(oldOwner)]).as("written by the owner").isZero();
+    assertThat(IntStream.of(written).sum()).as("written by other controllers").isPositive();
     cluster.clock.runUntil(
         OUTAGE_AT_MS + (long) (cluster.settings.maxCancellationS() * 1000) + 10_000);
-    assertThat(cluster.state.down).as("down for longer than cancel_s").isTrue();
+    assertThat(cluster.state.down).as("outage longer than cancel_s").isTrue();
     assertThat(cluster.cloud.machines.values())
-        .as("answered by the holder in the outage")
+        .as("answered by the owner during the outage")
         .anyMatch(
             worker ->
                 worker.renewedBy == cluster.nodeIndex(oldOwner)
@@ -270,7 +278,10 @@
     runAndVerify(cluster);
   }
 
-  /** The leader ends while machines with long tasks can't be reached, or don't hear the new one. */
+  /**
+   * The leader crashes while machines with long tasks are unreachable, or do not receive the new
+   * leader's answers.
+   */
   @ParameterizedTest
   @CsvSource({"1,MACHINES_CUT_OFF", "2,MACHINES_DEAF", "3,MACHINES_CUT_OFF", "4,MACHINES_DEAF"})
   void leaderCrashesWhileMachinesAreUnreachable(long seed, InjectedFault trouble)
@@ -286,7 +297,7 @@
     cluster.clock.runUntil(FAULTS_AT_MS + 3000);
     assertThat(cluster.ownerName()).isNotEqualTo(oldOwner);
     assertThat(unreachable.stream().mapToInt(worker -> worker.tasks.size()).sum())
-        .as("tasks still there as the new one begins")
+        .as("tasks still there as the new owner starts")
         .isPositive();
     cancelEveryNth(cluster, 3, 200);
     runAndVerify(cluster);
--- a/src/test/java/dunlincroft/sim/FaultPairsTest.java
+++ b/src/test/java/dunlincroft/sim/FaultPairsTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Days on which two or three troubles meet on purpose: the second strikes within seconds of the
- * first one's beginning or end. More of them: {@code -Ddunlincroft.first=1000
+ * Guards against broken invariants when two or three faults overlap: the second begins within
+ * seconds of the first one's beginning or end. To play more days: {@code -Ddunlincroft.first=1000
  * -Ddunlincroft.pairdays=5000}.
  */
 class FaultPairsTest {
@@ -30,7 +30,7 @@
   private static final long FAULTS_OVER_MS =
       FIRST_PAIR_MS + PAIRS_PER_DAY * PAIR_INTERVAL_MS + 40_000;
 
-  /** A trouble at its time. */
+  /** A fault, when it is injected, and how long it lasts. */
   private record PlannedFault(long at, InjectedFault fault, long durationMs) {
     @Override
     public String toString() {
@@ -38,10 +38,13 @@
     }
   }
 
-  /** How often each pair was played. */
+  /** Number of times each pair of faults was played. */
   private static final Map<String, Integer> PLAYS_BY_PAIR = new TreeMap<>();
 
-  /** Starts after a confirmed cancellation: in flight then, ordered later, and how much later. */
+  /**
+   * Starts after a confirmed cancellation: in flight at that time, ordered later, and the longest
+   * delay in milliseconds.
+   */
   private static int inFlight;
 
   private static int orderedLater;
@@ -58,13 +61,13 @@
     return LongStream.range(first, first + Long.getLong("dunlincroft.pairdays", 36));
   }
 
-  /** Each day takes the next pairs of all, in an order that goes through every one. */
+  /** Each day takes the next pairs of faults, in an order that covers all of them. */
   private static List<PlannedFault> plan(long seed) {
     Random random = new Random(seed * 7919);
     InjectedFault[] all = InjectedFault.values();
     List<PlannedFault> plan = new ArrayList<>();
     for (int i = 0; i < PAIRS_PER_DAY; i++) {
-      // 251 and the number of pairs have no divisor in common.
+      // 251 and the number of pairs have no common divisor.
       long pair = (seed * PAIRS_PER_DAY + i) * 251 % (all.length * all.length);
       InjectedFault one = all[(int) (pair / all.length)];
       InjectedFault two = all[(int) (pair % all.length)];
@@ -86,7 +89,7 @@
     return plan;
   }
 
-  /** Jobs of one to three tasks that end far apart, long ones, services, arrays. */
+  /** Jobs of one to three tasks that end far apart, long jobs, services and arrays. */
   static JobSpec randomJob(Random random, int number) throws MalformedException {
     int kind = random.nextInt(4);
     boolean daemon = kind == 0;
@@ -141,7 +144,7 @@
     return faults;
   }
 
-  /** Leaves out what is not needed for the day to break. */
+  /** Removes faults that are not needed to break the day's invariants. */
   private static List<PlannedFault> shrink(long seed, List<PlannedFault> plan)
       throws MalformedException {
     List<PlannedFault> minimal = new ArrayList<>(plan);
@@ -163,7 +166,9 @@
     count(cluster.checks.startsAfterCancellation);
     List<String> faults = faults(cluster);
     assertThat(faults)
-        .as("day %d, at least by %s", seed, faults.isEmpty() ? "" : shrink(seed, plan))
+        .as(
+            "day %d, minimal failing set of faults: %s",
+            seed, faults.isEmpty() ? "" : shrink(seed, plan))
         .isEmpty();
   }
 
@@ -171,7 +176,7 @@
   static void printSummary() {
     int all = InjectedFault.values().length * InjectedFault.values().length;
     System.out.printf(
-        "pairs of troubles: %d of %d played, %d times in all%n",
+        "pairs of faults: %d of %d played, %d times in all%n",
         PLAYS_BY_PAIR.size(), all, PLAYS_BY_PAIR.values().stream().mapToInt(n -> n).sum());
     System.out.printf(
         "starts after a confirmed cancellation: %d in flight, %d ordered later, by %d ms at most%n",
--- a/src/test/java/dunlincroft/sim/InvalidSubmissionTest.java
+++ b/src/test/java/dunlincroft/sim/InvalidSubmissionTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Jobs that fit no machine or lack a field are refused and the error says why, also while the list
- * of machine types is late; none is accepted, and no accepted job is refused.
+ * Guards against wrong admission: jobs that fit no machine or lack a field are refused with an
+ * error that gives the reason, also while the list of machine types is late; none of them is
+ * accepted, and no accepted job is refused.
  */
 class InvalidSubmissionTest extends OverlappingFaultsScenario {
   private static final int NO_ANSWER = 0;
@@ -37,7 +38,10 @@
     runAndVerify(cluster, END_MS);
   }
 
-  /** No controller knows the types: what only they can tell is answered 503. */
+  /**
+   * No controller knows the machine types: submissions that need them to be judged are answered
+   * 503.
+   */
   @ParameterizedTest
   @EnumSource(Infeasibility.class)
   void undecidableSubmissionsAreAnswered503(Infeasibility reason) throws MalformedException {
@@ -50,7 +54,7 @@
         cluster.unusualRequests.missingField(node, UnusualRequests.REQUIRED.get((int) (at / 2000)));
       }
     }
-    assertThat(cluster.checks.accepted).as("accepted without any type").isEmpty();
+    assertThat(cluster.checks.accepted).as("accepted without any machine type").isEmpty();
     assertThat(cluster.unusualRequests.infeasible)
         .containsOnlyKeys(reason.dependsOnlyOnTeam() ? 422 : 503);
     assertThat(cluster.unusualRequests.missingField).containsOnlyKeys(400);
@@ -60,9 +64,9 @@
   }
 
   /**
-   * Only the leader has read a longer list of types, and accepts what by the list of the others can
-   * never run. They answer a submission that is repeated at once with the job's state, though most
-   * have not read of the job yet.
+   * Only the leader has read a longer list of machine types, and accepts a job that by the other
+   * nodes' list can never run. They must answer an immediately repeated submission with the job's
+   * state, though most have not yet read the job's record.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
@@ -83,7 +87,7 @@
       cluster.clock.runUntil(cluster.clock.now() + 1);
       assertThat(cluster.clock.now() - submitted).isLessThan(2000);
     }
-    // A question of the same millisecond would not count as a later one.
+    // A query sent in the same millisecond would not count as a later one.
     cluster.clock.runUntil(cluster.clock.now() + 1);
     for (int node = 0; node < cluster.nodeCount(); node++) {
       cluster.requestBursts.submit(node, large);
@@ -96,7 +100,7 @@
     }
     cluster.clock.runUntil(cluster.clock.now() + 2000);
     assertThat(cluster.unusualRequests.infeasible)
-        .as("nodes whose types lag")
+        .as("nodes whose machine types lag")
         .containsEntry(422, 4);
     cluster.cancel(large);
     cluster.clock.runUntil(cluster.clock.now() + 15_000);
@@ -105,8 +109,9 @@
   }
 
   /**
-   * A single node, which doesn't lead, knows the types, and accepts a job: the others, which know
-   * none, answer a repeated submission with the job's state or 503, and polls with the state.
+   * A single node, which is not the leader, knows the machine types and accepts a job. The others,
+   * which know none, answer a repeated submission with the job's state or 503, and polls with the
+   * state.
    */
   @Test
   void acceptedJobsAreKnownWithoutMachineTypes() throws MalformedException {
@@ -131,11 +136,14 @@
       assertThat(cluster.checks.violations).isEmpty();
     }
     assertThat(singleInformedDays)
-        .as("days on which one node alone knew the types")
+        .as("days on which only one node knew the machine types")
         .isGreaterThan(2);
   }
 
-  /** A list that promises too much lets jobs in that fit no machine: the checks see it. */
+  /**
+   * A list with machine types that are too large admits jobs that fit no machine: the checks report
+   * them.
+   */
   @Test
   void acceptedJobsThatFitNoMachineAreReported() throws MalformedException {
     SimCluster cluster = busyCluster(1);
@@ -146,7 +154,7 @@
     assertThat(cluster.checks.violations).hasSize(1).first().asString().contains("accepted_odd");
   }
 
-  /** What the checks ask of an answer to what must be refused. */
+  /** Which answers to an invalid submission the checks accept, and which they report. */
   @Test
   void wrongRefusalsAreReported() throws MalformedException {
     SimCluster cluster = busyCluster(1);
--- a/src/test/java/dunlincroft/sim/InvariantsTest.java
+++ b/src/test/java/dunlincroft/sim/InvariantsTest.java
@@ -16,12 +16,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Plays generated histories against the real coordination code and checks every rule. */
+/**
+ * Plays generated histories of jobs and faults against the real coordination code and checks every
+ * invariant.
+ */
 class InvariantsTest {
   private static final long FAULTS_UNTIL_MS = 240_000;
   private static final long END_MS = 600_000;
 
-  /** No generated fault lasts for longer; copies of reports come late for longer still. */
+  /** No generated fault lasts longer; copies of reports arrive even later. */
   private static final long LONGEST_FAULT_MS = 70_000;
 
   static JobSpec randomJob(Random random, int number) throws MalformedException {
@@ -85,7 +88,7 @@
     return cluster;
   }
 
-  /** A guest team fills every machine, or brings many small jobs at once. */
+  /** A team without a guarantee fills every machine, or submits many small jobs at once. */
   private static void flood(SimCluster cluster, Random random) {
     boolean many = random.nextBoolean();
     for (int i = 0; i < (many ? 24 : 1); i++) {
@@ -95,7 +98,7 @@
     }
   }
 
-  /** A batch job without wishes. */
+  /** A batch job without placement constraints. */
   static JobSpec batchJob(String ref, String team, int tasks, double cpus) {
     return batchJob(ref, team, tasks, cpus, 15, 0);
   }
@@ -132,7 +135,7 @@
     return LongStream.range(first, first + Long.getLong("dunlincroft.days", 30));
   }
 
-  /** For days that take longer. */
+  /** A subset of the seeds for tests that take longer. */
   private static LongStream fewSeeds() {
     return seeds().filter(seed -> seed % 5 == 1 || seed % 5 == 2);
   }
@@ -153,7 +156,7 @@
         .hasSize(cluster.submittedJobs());
   }
 
-  /** Three lease holders at a handful of machines: blocks, shares and shards change hands. */
+  /** Three lease owners at a handful of machines: blocks, shares and shards change owners. */
   @ParameterizedTest
   @MethodSource("seeds")
   void invariantsHoldWithSeveralOwners(long seed) throws MalformedException {
@@ -161,7 +164,7 @@
     assertInvariants(cluster);
     assertThat(cluster.state.dataUnder("d/leases/").get("one").path("holders")).hasSize(3);
     assertThat(cluster.state.dataUnder("d/shares/").values())
-        .as("shares were handed on")
+        .as("shares were transferred")
         .anyMatch(share -> share.size() > 1);
   }
 
@@ -173,8 +176,8 @@
   }
 
   /**
-   * Values of 1 KiB and 3 changes a transaction: jobs take many entries, the log goes round, pages
-   * are written between its entries, and holders that take over read both.
+   * Values of 1 KiB and 3 changes a transaction: jobs take many entries, the log wraps around,
+   * pages are written between its entries, and owners that take over read both.
    */
   @ParameterizedTest
   @MethodSource("fewSeeds")
@@ -193,8 +196,8 @@
   }
 
   /**
-   * Workers stay with a holder that is alive but cut off. Its successor once did not know where
-   * hired machines are, took them for dead, and released them with all that was on them.
+   * Workers stay with an owner that is alive but partitioned. Its successor once did not know the
+   * zones of rented machines, took the machines for dead, and released them with all their tasks.
    */
   @Test
   void partitionedOwnerLosesNoMachine() throws MalformedException {
@@ -216,13 +219,13 @@
   private static void assertNoMachineLost(SimCluster cluster, long until) {
     cluster.clock.runUntil(until);
     assertThat(cluster.checks.violations).isEmpty();
-    assertThat(cluster.cloud.machines).as("machines were hired").hasSizeGreaterThan(8);
+    assertThat(cluster.cloud.machines).as("machines were rented").hasSizeGreaterThan(8);
     assertThat(cluster.cloud.tasksLostToRelease).isZero();
   }
 
   /**
-   * All machines seem to have been silent for as long as the holder stood still, and its time-outs
-   * fire at once: none of them may be released for it.
+   * After an owner was paused, all machines seem to have been silent for that long, and its
+   * time-outs fire at once: no machine may be released for that.
    */
   @ParameterizedTest
   @ValueSource(longs = {1000, 5000, 8000, 15_000, 40_000})
@@ -233,8 +236,9 @@
   }
 
   /**
-   * Two seconds in which nobody was heard, added to a machine's own short silence: the sum would
-   * speak against it, its own silence does not.
+   * A pause of all controllers, in which no worker is heard for two seconds, is added to a short
+   * silence of one machine: the sum would exceed the limit for a release, the machine's own silence
+   * does not.
    */
   @Test
   void machineIsNotReleasedForAControllerPause() throws MalformedException {
@@ -252,7 +256,7 @@
     assertNoMachineLost(cluster, 75_000);
   }
 
-  /** A holder gone without a word: others start work soon. */
+  /** An owner becomes silent without closing its connections: other controllers start work soon. */
   @Test
   void silentOwnerIsReplacedSoon() throws MalformedException {
     SimCluster cluster = busy();
@@ -266,8 +270,9 @@
   }
 
   /**
-   * Guests' small tasks fill every machine. Room for larger ones within a guarantee is made on as
-   * few machines as it takes: freed in pieces on all of them it would be filled and freed again.
+   * Small tasks of a team without a guarantee fill every machine. Capacity for larger tasks within
+   * a guarantee is freed on as few machines as possible: freed in small parts on all machines, it
+   * would be filled and freed again.
    */
   @Test
   void guaranteedCapacityIsFreedOnFewMachines() throws MalformedException {
@@ -286,7 +291,10 @@
     assertThat(cluster.checks.violations).isEmpty();
   }
 
-  /** Arrays that fail everywhere: known for it soon, whoever holds them, and no machine's fault. */
+  /**
+   * Arrays that fail on every machine are recognized as faulty soon, whichever controller owns
+   * them, and no machine is taken for faulty.
+   */
   @Test
   void failingJobsAreDistinguishedFromFaultyMachines() throws MalformedException {
     SimCluster cluster = new SimCluster(3, Policy.DEFAULT, Size.SMALL);
@@ -303,10 +311,14 @@
     cluster.clock.runUntil(240_000);
     assertThat(cluster.checks.violations).isEmpty();
     assertThat(cluster.checks.finalStates).hasSize(12);
-    assertThat(cluster.checks.failingAttempts).as("of 4 jobs with 120 tasks").isBetween(12, 200);
+    assertThat(cluster.checks.failingAttempts)
+        .as("failed attempts of 4 jobs with 120 tasks")
+        .isBetween(12, 200);
   }
 
-  /** The checks can fail: some of these days break rules once the service ignores all guards. */
+  /**
+   * The checks can fail: some of these days break rules once the state service ignores all guards.
+   */
   @Test
   void checksReportViolationsWithoutGuards() throws MalformedException {
     List<String> broken = List.of();
--- a/src/test/java/dunlincroft/sim/LateLeaseWriteTest.java
+++ b/src/test/java/dunlincroft/sim/LateLeaseWriteTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The lease of new machines gets no answer, is repeated, and is carried out when the block that the
- * repetition made has been emptied and removed. It once brought the block back, with machines that
- * were gone.
+ * Guards against a late write that recreates a deleted block. The write that leases new machines
+ * gets no response, is retried, and is applied after the block created by the retry has been
+ * emptied and removed. This once recreated the block with machines that were gone.
  */
 class LateLeaseWriteTest extends OverlappingFaultsScenario {
   private static final long DELAYS_UNTIL_MS = 60_000;
 
-  /** Late leases that came when one of their blocks had been there and gone. */
+  /** Late lease writes applied when one of their blocks had been created and removed. */
   private int lateAfterRemoval;
 
   private long delayOf(SimCluster cluster, ObjectNode body, double share, long ms) {
@@ -41,7 +41,7 @@
     return ms;
   }
 
-  /** Each few seconds all machines of some blocks are found to have failed, and are returned. */
+  /** Every few seconds the machines of some blocks are listed as failed, and are returned. */
   private static void emptyBlocks(SimCluster cluster) {
     Set<String> failedHosts = new HashSet<>();
     cluster.state.dataUnder("d/blocks/").values().stream()
@@ -68,7 +68,7 @@
       cluster.clock.after(FAULTS_AT_MS, () -> cluster.crashOwner(leaderAwayMs));
     }
     cluster.clock.runUntil(DELAYS_UNTIL_MS + lateMs + 5000);
-    assertThat(lateAfterRemoval).as("late leases of blocks that are gone").isPositive();
+    assertThat(lateAfterRemoval).as("late lease writes of removed blocks").isPositive();
     assertThat(cluster.checks.returnedMachines).isEmpty();
     runAndVerify(cluster);
     assertThat(cluster.checks.returnedMachines).isEmpty();
--- a/src/test/java/dunlincroft/sim/LeaderChangesTest.java
+++ b/src/test/java/dunlincroft/sim/LeaderChangesTest.java
@@ -7,12 +7,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Leaders change ten times in two minutes, also inside an outage of the state service. */
+/**
+ * Guards against lost or stuck work under frequent failover: leaders change ten times in two
+ * minutes, also during an outage of the state service.
+ */
 class LeaderChangesTest extends OverlappingFaultsScenario {
   private static final long TWO_MINUTES_MS = 120_000;
   private static final long OBSERVE_INTERVAL_MS = 100;
 
-  /** What an observer saw of the records and of the controllers that ended. */
+  /** Counts changes of the leader and owner records, and crashes during the outage. */
   private static final class Observer {
     private final SimCluster cluster;
     private JsonNode leaderRecord;
@@ -43,7 +46,10 @@
     }
   }
 
-  /** Whoever answers most workers ends, every few seconds, and is back soon or at once. */
+  /**
+   * Every few seconds the controller that answers most workers crashes, and restarts soon or at
+   * once.
+   */
   @ParameterizedTest
   @CsvSource({
     "1, 5000, 3000, 0",
@@ -67,10 +73,10 @@
     cancelEveryNth(cluster, 3, 3000);
     cluster.clock.runUntil(FAULTS_AT_MS + TWO_MINUTES_MS);
     assertThat(Math.max(observer.leaderChanges, observer.ownerChanges))
-        .as("changes")
+        .as("leader or owner changes")
         .isGreaterThan(10);
     assertThat(observer.crashesInOutage)
-        .as("ends inside the outage")
+        .as("crashes during the outage")
         .isGreaterThanOrEqualTo((int) (outageMs / everyMs / 2));
     runAndVerify(cluster);
   }
--- a/src/test/java/dunlincroft/sim/LeaderCrashDuringProvisioningTest.java
+++ b/src/test/java/dunlincroft/sim/LeaderCrashDuringProvisioningTest.java
@@ -14,30 +14,31 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * New machines are up within two seconds and get work at once while writes lag, and the leader ends
- * at each step of that. No machine stays without a block, none is in two, none of its tasks runs
- * twice, and jobs go on.
+ * Guards against leaked or doubly leased machines when the leader crashes during provisioning. New
+ * machines boot within two seconds and get work at once while writes are delayed, and the leader
+ * crashes at each step. Every machine ends up in exactly one block, no task on it runs twice, and
+ * jobs go on.
  */
 class LeaderCrashDuringProvisioningTest extends OverlappingFaultsScenario {
-  /** Where in the life of a new machine the leader ends. */
+  /** Step in the life of a new machine at which the leader crashes. */
   private enum Step {
     RENTED,
     RECORDED,
     STARTED
   }
 
-  /** A machine that is rented stays without a block for no longer than a change of leaders. */
+  /** Longest time a rented machine may be in no block: the duration of a leader change. */
   private static final long MAX_UNLEASED_MS = 45_000;
 
   private SimCluster cluster;
 
-  /** Since when a machine is rented and in no block. */
+  /** Time since which a machine is rented and in no block. */
   private final Map<String, Long> unleasedSince = new HashMap<>();
 
   private final Set<String> initialHosts = new HashSet<>();
   private final Set<String> leaked = new HashSet<>();
 
-  /** Leaders that ended at the step, and machines that were at it then. */
+  /** Number of times the leader was crashed while a new machine was at the step. */
   private int leaderCrashes;
 
   private long nextCrashAt;
@@ -63,7 +64,10 @@
     };
   }
 
-  /** Ends the leader whenever a new machine is at the step, for a while not again. */
+  /**
+   * Crashes the leader whenever a new machine is at the step, with a minimum interval between
+   * crashes.
+   */
   private void crashLeaderAtStep(Step step, long awayMs, long untilMs) {
     Set<String> leasedHosts = leasedHosts();
     long now = cluster.clock.now();
@@ -83,7 +87,7 @@
         }
       }
       if (step != Step.STARTED || worker.tasks.isEmpty()) {
-        // Machines from before are no newcomers.
+        // Machines rented before the fault are not new.
         if (now < FAULTS_AT_MS) {
           initialHosts.add(worker.host);
         }
@@ -119,16 +123,16 @@
     cancelEveryNth(cluster, 4, 2500);
     int before = cluster.cloud.rentedMachines();
     cluster.clock.runUntil(FAULTS_AT_MS + 90_000);
-    assertThat(leaderCrashes).as("ends of leaders at this step of a new machine").isGreaterThan(2);
+    assertThat(leaderCrashes).as("leader crashes at this step of a new machine").isGreaterThan(2);
     assertThat(cluster.cloud.rentedMachines() - before)
-        .as("machines rented meanwhile")
+        .as("machines rented during the faults")
         .isGreaterThan(30);
-    assertThat(cluster.net.executedAfterNewer).as("writes carried out late").isGreaterThan(20);
+    assertThat(cluster.net.executedAfterNewer).as("writes applied late").isGreaterThan(20);
     runUntilDoneAndVerify(cluster);
     assertThat(leaked).as("machines without a block").isEmpty();
-    assertThat(leasedHosts()).as("blocks and machines").isEqualTo(cluster.cloud.machines.keySet());
+    assertThat(leasedHosts()).as("machines in blocks").isEqualTo(cluster.cloud.machines.keySet());
     assertThat(cluster.cloud.unusedMachines())
-        .as("machines rented in vain of %d", cluster.cloud.rentedMachines())
+        .as("machines of %d that were rented but never used", cluster.cloud.rentedMachines())
         .isLessThan(cluster.cloud.rentedMachines() / 6);
   }
 }
--- a/src/test/java/dunlincroft/sim/LeaseExpiryTest.java
+++ b/src/test/java/dunlincroft/sim/LeaseExpiryTest.java
@@ -11,7 +11,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A zone, or all controllers, are away for longer than a lease. */
+/**
+ * Guards against faults when a zone, or all controllers, are unavailable for longer than a lease.
+ */
 class LeaseExpiryTest extends OverlappingFaultsScenario {
   private static final long LONGER_THAN_A_LEASE_MS = 33_000;
 
@@ -22,8 +24,8 @@
   }
 
   /**
-   * A zone with workers and a controller is cut off: with the holder inside, or outside. Users
-   * cancel jobs of which tasks are inside.
+   * A zone with workers and a controller is cut off, with the owner inside or outside. Users cancel
+   * jobs that have tasks inside.
    */
   @ParameterizedTest
   @CsvSource({
@@ -51,16 +53,21 @@
       cluster.clock.after(1000L * i, () -> cluster.submitAndFollow(more, 0));
     }
     cluster.clock.runUntil(FAULTS_AT_MS + ms - 500);
-    assertThat(cluster.ownerName().equals(oldOwner)).as("held outside").isEqualTo(!ownerInside);
-    assertThat(cluster.checks.starts).as("jobs go on outside").isGreaterThan(starts + 20);
+    assertThat(cluster.ownerName().equals(oldOwner))
+        .as("shard owned by the same controller")
+        .isEqualTo(!ownerInside);
+    assertThat(cluster.checks.starts).as("starts outside the zone").isGreaterThan(starts + 20);
     assertThat(cluster.checks.cancelConfirmedAt).hasSizeGreaterThan(10);
     assertThat(inside)
-        .as("nobody answers inside for ever")
+        .as("no worker inside renews its lease for ever")
         .allMatch(worker -> worker.terminated || worker.renewedAt < FAULTS_AT_MS + 26_000);
     runAndVerify(cluster);
   }
 
-  /** All are away, return at once or one by one, and find that all sessions are new. */
+  /**
+   * All controllers are down, restart at once or one by one, and find that all worker sessions are
+   * new.
+   */
   @ParameterizedTest
   @CsvSource({"1, 0", "2, 0", "3, 4000", "4, 9000", "5, 300"})
   void allControllersAreDownBeyondTheLease(long seed, long restartIntervalMs)
@@ -84,7 +91,7 @@
         .allSatisfy((worker, tenure) -> assertThat(worker.session()).isGreaterThan(tenure));
     int starts = cluster.checks.starts;
     cluster.clock.runUntil(FAULTS_AT_MS + LONGER_THAN_A_LEASE_MS + 30_000);
-    assertThat(cluster.checks.starts).as("work begins anew").isGreaterThan(starts + 10);
+    assertThat(cluster.checks.starts).as("starts after the restart").isGreaterThan(starts + 10);
     runAndVerify(cluster);
   }
 }
--- a/src/test/java/dunlincroft/sim/LostOwnershipResponsesTest.java
+++ b/src/test/java/dunlincroft/sim/LostOwnershipResponsesTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Answers are lost to what makes controllers, leaders and holders, and to what moves machines and
- * shares between them: whoever won finds out by the records, and acts.
+ * Guards against lost responses to writes that elect controllers, leaders and owners, or that move
+ * machines and shares between owners: the winner must recognize by the records that its write
+ * succeeded, and act.
  */
 class LostOwnershipResponsesTest extends OverlappingFaultsScenario {
   @ParameterizedTest
@@ -32,7 +33,7 @@
     "TYPES,16,1"
   })
   void winnerRecognizesItsOwnWrite(Kind kind, long seed, int least) throws MalformedException {
-    // Blocks move seldom: with more holders they do more often.
+    // Blocks are moved rarely, and more often with more owners.
     int machinesPerOwner = kind == Kind.BLOCK_MOVED ? 5 : 12;
     SimCluster cluster =
         busyCluster(seed, Policy.parse("holder_machines = " + machinesPerOwner + ";"));
@@ -46,12 +47,13 @@
     cancelEveryNth(cluster, 4, 1500);
     cluster.clock.runUntil(86_000);
     runUntilDoneAndVerify(cluster);
-    assertThat(cluster.lostAnswers.lost(kind)).as("answers lost").isGreaterThanOrEqualTo(least);
+    assertThat(cluster.lostAnswers.lost(kind)).as("responses lost").isGreaterThanOrEqualTo(least);
   }
 
   /**
-   * The holder's zone is cut off, and the answer to its successor's take-over is lost. The old one
-   * goes on answering the zone's workers for a while: they are not returned before that is over.
+   * The owner's zone is cut off, and the response to its successor's takeover is lost. The old
+   * owner keeps answering the zone's workers for a while: the successor must not release them
+   * before that has ended.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -59,9 +61,9 @@
     long withoutLoss = tasksReleased(cutZoneDuringTakeover(seed, false));
     jobs.clear();
     SimCluster cluster = cutZoneDuringTakeover(seed, true);
-    assertThat(cluster.lostAnswers.lost(Kind.SHARD)).as("answers lost").isPositive();
+    assertThat(cluster.lostAnswers.lost(Kind.SHARD)).as("responses lost").isPositive();
     assertThat(tasksReleased(cluster))
-        .as("tasks lost by release, without lost answers %d", withoutLoss)
+        .as("tasks lost by releases, without lost responses %d", withoutLoss)
         .isLessThanOrEqualTo(withoutLoss + 3);
     runUntilDoneAndVerify(cluster);
   }
@@ -80,7 +82,9 @@
     }
     cluster.cutZone(cluster.ownerZone(), 30_000);
     cluster.clock.runUntil(FAULTS_AT_MS + 33_000);
-    assertThat(cluster.ownerName()).as("another holds the shard").isNotEqualTo(oldOwner);
+    assertThat(cluster.ownerName())
+        .as("shard taken over by another controller")
+        .isNotEqualTo(oldOwner);
     return cluster;
   }
 }
--- a/src/test/java/dunlincroft/sim/LostWriteResponsesTest.java
+++ b/src/test/java/dunlincroft/sim/LostWriteResponsesTest.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A change of one kind is carried out at once and only its answer is lost, again and again, while
- * users ask all nodes, controllers crash and machines hang. Its sender finds out that it was its
- * own.
+ * Guards against writes that are applied but whose response is lost. Responses to one kind of write
+ * are lost repeatedly while users query all nodes, controllers crash and machines hang. The sender
+ * must recognize the applied write as its own.
  */
 class LostWriteResponsesTest extends OverlappingFaultsScenario {
   private static final long FAULT_FROM_MS = 4000;
   private static final long FAULT_DURATION_MS = 80_000;
 
-  /** Jobs about which every node was asked at once and some answered. */
+  /** Jobs about which all nodes were queried at once and some answered. */
   private final Set<String> queriedJobs = new HashSet<>();
 
-  /** Users ask all nodes about some jobs at once, and repeat the submissions of some. */
+  /** Users query all nodes about some jobs at once, and resubmit some of them. */
   private void queryAllNodes(SimCluster cluster, Random random) {
     for (int i = 0; i < 3; i++) {
       JobSpec spec = jobs.get(random.nextInt(jobs.size()));
@@ -43,7 +43,7 @@
     cluster.clock.after(500, () -> queryAllNodes(cluster, random));
   }
 
-  /** Each job is sent to all nodes within milliseconds; one alone accepts it. */
+  /** Each job is submitted to all nodes within milliseconds; exactly one accepts it. */
   private void submitToAllNodes(SimCluster cluster) {
     for (JobSpec spec : jobs) {
       if (cluster.specOf(spec.ref()) != null && !cluster.checks.accepted.contains(spec.ref())) {
@@ -119,8 +119,8 @@
           cluster.clock.after(
               16_000 + 20_000L * i + 5000L * j,
               () -> InjectedFault.busiestMachines(cluster).forEach(worker -> worker.hang(4000)));
-          // A worker that begins anew always gets a higher fence: with hanging machines alone the
-          // number of raised fences hung on the seed.
+          // A restarted worker always gets a higher fence token. With hanging machines alone the
+          // number of raised fence tokens depended on the seed.
           cluster.clock.after(
               18_000 + 20_000L * i + 5000L * j,
               () -> InjectedFault.busiestMachines(cluster).forEach(worker -> worker.restart(200)));
@@ -131,8 +131,8 @@
     cancelEveryNth(cluster, kind == Kind.CANCEL ? 2 : 4, 1000);
     cluster.clock.runUntil(FAULT_FROM_MS + FAULT_DURATION_MS + 1);
     runUntilDoneAndVerify(cluster);
-    assertThat(cluster.lostAnswers.lost(kind)).as("answers lost").isGreaterThanOrEqualTo(least);
-    assertThat(queriedJobs).as("jobs asked about at all nodes").hasSizeGreaterThan(30);
+    assertThat(cluster.lostAnswers.lost(kind)).as("responses lost").isGreaterThanOrEqualTo(least);
+    assertThat(queriedJobs).as("jobs queried at all nodes").hasSizeGreaterThan(30);
     assertThat(cluster.checks.accepted).as("accepted").hasSize(cluster.submittedJobs());
   }
 }
--- a/src/test/java/dunlincroft/sim/MachineTypeRecordTest.java
+++ b/src/test/java/dunlincroft/sim/MachineTypeRecordTest.java
@@ -10,18 +10,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Who knows no machine types accepts nothing: they must come by way of the record, and soon. */
+/**
+ * Guards against controllers without machine types, which accept no job: the types must reach them
+ * soon by way of the record.
+ */
 class MachineTypeRecordTest extends OverlappingFaultsScenario {
   private static final int JOBS = 12;
   private static final long CLOUD_BACK_MS = 3000;
   private static final long OUTAGE_MS = 4000;
 
-  /** Sooner than the balancer leads users away from nodes that are not ready. */
+  /** Shorter than the time after which the load balancer excludes nodes that are not ready. */
   private static final long ACCEPTED_WITHIN_MS = 4000;
 
   /**
-   * The cloud answers the leader alone, and the first writing of the types fails in an outage. It
-   * was written again a minute later, and with the least urgency of all.
+   * Only the leader gets an answer from the cloud, and its first write of the machine types fails
+   * during an outage. The write was once retried only a minute later, and at the lowest priority.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -50,7 +53,9 @@
     }
     cluster.clock.runUntil(CLOUD_BACK_MS + OUTAGE_MS + ACCEPTED_WITHIN_MS);
     assertThat(cluster.leader()).isEqualTo(leader);
-    assertThat(cluster.checks.accepted).as("accepted by others than the leader").hasSize(JOBS);
+    assertThat(cluster.checks.accepted)
+        .as("accepted by controllers other than the leader")
+        .hasSize(JOBS);
     runAndVerify(cluster);
   }
 }
--- a/src/test/java/dunlincroft/sim/MultipleOwnersTest.java
+++ b/src/test/java/dunlincroft/sim/MultipleOwnersTest.java
@@ -14,15 +14,16 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Days on which two to five controllers hold machines. Every rule holds, and no job is left waiting
- * for 90 s while a machine that fits has room and its team is under its limit.
+ * Guards against jobs that starve when two to five controllers own machines. Every rule holds, and
+ * no job waits for 90 s while a suitable machine has free capacity and its team is under its limit.
  *
- * <p>Before the mend 23 of 40 days failed. A team's limit lay in parts with the shards, each part
- * less than one task takes, or the room was on another shard's machines: the check prints both for
- * each job ("of shard n1, a task takes 2000, unused parts of its team's limit {n0=4379, n1=530}").
+ * <p>Before this was fixed, 23 of 40 days failed. A team's limit was split among the shards into
+ * parts smaller than one task, or the free capacity was on another shard's machines: the check
+ * prints both for each job ("of shard n1, a task takes 2000, unused parts of its team's limit
+ * {n0=4379, n1=530}").
  *
- * <p>More days than a build plays: {@code mvn surefire:test -Dtest=SeveralHoldersTest
- * -DseveralHolders.days=200}; {@code -DseveralHolders.first=35} begins with another one.
+ * <p>To play more days than a build does: {@code mvn surefire:test -Dtest=MultipleOwnersTest
+ * -DseveralHolders.days=200}; {@code -DseveralHolders.first=35} starts at another day.
  */
 class MultipleOwnersTest {
   private static final int DAYS_IN_CI = 12;
@@ -31,7 +32,7 @@
   private static final long END_MS = 520_000;
   private static final int JOBS = 70;
 
-  /** What happens on a day besides work. */
+  /** A fault injected during the day. */
   private enum Fault {
     NOTHING,
     OWNER_CRASHES,
@@ -70,7 +71,7 @@
     return IntStream.range(first, first + days).boxed();
   }
 
-  /** Services and arrays of small and large tasks, some of one zone. */
+  /** Services and arrays of small and large tasks, some bound to one zone. */
   static JobSpec randomJob(Random random, int number) throws MalformedException {
     boolean service = random.nextInt(4) == 0;
     boolean large = random.nextInt(4) == 0;
@@ -103,7 +104,8 @@
     Fault fault = Fault.values()[day % Fault.values().length];
     long seed = 300 + day;
     Random random = new Random(seed);
-    // Limits from a machine's worth to half of the machines: teams are at them most of the time.
+    // Limits between one machine's capacity and half of all machines: teams are at them most of the
+    // time.
     Size size = Size.FLEET.withTeamLimits(16 + random.nextInt(5) * 12, 60 + random.nextInt(4) * 60);
     SimCluster cluster =
         new SimCluster(seed, Policy.parse("holder_machines = " + 24 / owners + ";"), size);
--- a/src/test/java/dunlincroft/sim/OutboundPartitionTest.java
+++ b/src/test/java/dunlincroft/sim/OutboundPartitionTest.java
@@ -13,9 +13,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Workers that can open connections to no controller, while direct commands reach them: their
- * leases end, since commands do not renew them; they answer questions and so are not taken for
- * dead; and what they ran starts elsewhere only by the word of their new session.
+ * Guards against wrong handling of workers that cannot connect to any controller but still receive
+ * direct commands. Their leases expire, since commands do not renew them; they answer probes, so
+ * they are not taken for dead; and their tasks start elsewhere only once their new session is
+ * known.
  */
 class OutboundPartitionTest extends OverlappingFaultsScenario {
   private static final long END_MS = 420_000;
@@ -24,7 +25,10 @@
     return worker.tasks.values().stream().filter(Task::isActive);
   }
 
-  /** Mute for shorter and longer than the lease, beside a change of leader and cancellations. */
+  /**
+   * Outbound partitions shorter and longer than the lease, with a change of leader and
+   * cancellations.
+   */
   @ParameterizedTest
   @CsvSource({"1,9000,0", "2,14000,3000", "3,30000,1000", "4,45000,8000", "5,60000,23000"})
   void workersCannotConnect(long seed, long ms, long crashAfter) throws MalformedException {
@@ -58,7 +62,7 @@
       endedSessions += partitioned.get(i).session() > sessionNumbers.get(i) ? 1 : 0;
     }
     long releasedMachines = partitioned.stream().filter(worker -> worker.terminated).count();
-    assertThat(directOrders).as("direct orders that mute machines carried out").isPositive();
+    assertThat(directOrders).as("direct orders executed by partitioned workers").isPositive();
     assertThat(cluster.cloud.tasksLostToRelease)
         .as("tasks of machines that were released")
         .isZero();
@@ -75,7 +79,7 @@
     cancelServices(cluster);
     runAndVerifyBy(cluster, END_MS);
     assertThat(cancelledJobs)
-        .as("cancelled jobs of theirs")
+        .as("cancelled jobs of partitioned workers")
         .anyMatch(spec -> cluster.checks.cancelConfirmedAt.containsKey(spec.ref()));
   }
 }
--- a/src/test/java/dunlincroft/sim/ProvisioningTest.java
+++ b/src/test/java/dunlincroft/sim/ProvisioningTest.java
@@ -11,7 +11,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Renting, returning, clearing and the machine list, with the cloud's troubles. */
+/**
+ * Renting, returning and draining machines, and the cloud's machine list, with faults of the cloud.
+ */
 class ProvisioningTest {
   private SimCluster cluster;
   private SimCloud cloud;
@@ -33,7 +35,9 @@
     assertThat(cluster.checks.finalStates).hasSize(cluster.submittedJobs());
   }
 
-  /** Hosts of all recorded blocks; Checks sees to it that none stands in two. */
+  /**
+   * Hosts of all recorded blocks; {@link InvariantChecks} verifies that no host is in two blocks.
+   */
   private List<String> leasedHosts() {
     List<String> hosts = new ArrayList<>();
     for (JsonNode block : cluster.state.dataUnder("d/blocks/").values()) {
@@ -54,7 +58,10 @@
     assertInvariants();
   }
 
-  /** Up within a second, while the answer to the rental takes three: leased once, rented once. */
+  /**
+   * A machine boots within a second, while the answer to the rental takes three: it is leased once
+   * and rented once.
+   */
   @Test
   void workersThatReportBeforeTheRentalIsAnsweredAreLeasedOnce() {
     cloud.bootMs = 0;
@@ -88,7 +95,9 @@
     int peak = cloud.machines.size();
     assertThat(peak).isGreaterThan(8);
     cluster.clock.runUntil(55_000);
-    assertThat(cloud.releasedMachines).as("paid for a minute all the same").isZero();
+    assertThat(cloud.releasedMachines)
+        .as("not returned in the minute that is paid anyway")
+        .isZero();
     cluster.clock.runUntil(180_000);
     assertThat(cloud.machines.size()).isLessThan(peak - 3);
     assertThat(cloud.tasksLostToRelease).isZero();
@@ -110,7 +119,7 @@
     assertInvariants();
   }
 
-  /** A third of the machines silent at once: rather a fault of ours than theirs. */
+  /** A third of the machines silent at once: more likely a fault on the controllers' side. */
   @Test
   void manySilentMachinesAreNotReturnedAtOnce() {
     submitJob(1000, 40);
--- a/src/test/java/dunlincroft/sim/ProxyOwnerOutageTest.java
+++ b/src/test/java/dunlincroft/sim/ProxyOwnerOutageTest.java
@@ -11,19 +11,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A holder ends inside an outage: others that know enough answer its workers, and start nothing.
+ * Guards against lost tasks when an owner crashes during an outage of the state service: other
+ * controllers with sufficiently recent state answer its workers as proxies, and start nothing.
  */
 class ProxyOwnerOutageTest extends OverlappingFaultsScenario {
   private static final long OUTAGE_MS = 38_000;
 
-  /** Machines whose last answer came from another controller than this, since then. */
+  /** Machines whose last answer since then came from another controller than this. */
   private static long answeredByOthers(SimCluster cluster, int ownerNode, long since) {
     return cluster.cloud.machines.values().stream()
         .filter(worker -> worker.renewedBy != ownerNode && worker.renewedAt > since)
         .count();
   }
 
-  /** Its tasks go on; those of cancelled jobs are stopped; all go back to who holds them. */
+  /**
+   * The crashed owner's tasks go on, those of cancelled jobs are stopped, and all workers return to
+   * the owner of their shard afterwards.
+   */
   @ParameterizedTest
   @CsvSource({"1, 4000, 200", "2, 4000, 3000", "3, 8000, 60000", "4, 1000, 200"})
   void healthyMachinesKeepTheirTasks(long seed, long crashAfterMs, long awayMs)
@@ -40,15 +44,15 @@
     cluster.crash(ownerNode, awayMs);
     cluster.clock.runUntil(FAULTS_AT_MS + 1500 + OUTAGE_MS);
     assertThat(answeredByOthers(cluster, ownerNode, FAULTS_AT_MS + crashAfterMs + 5000))
-        .as("machines that others answered")
+        .as("machines answered by other controllers")
         .isGreaterThan(5);
     assertThat(cluster.checks.tasksLostToLease).as("tasks ended by leases").isZero();
     runAndVerify(cluster);
   }
 
   /**
-   * The busiest ends ten times in two minutes, with an outage of more than a lease in it. Without
-   * stand-ins 37 to 62 tasks ended by leases on each of these days.
+   * The busiest controller crashes ten times in two minutes, with an outage longer than a lease
+   * among the crashes. Without proxies 37 to 62 tasks ended by lease expiry on each of these days.
    */
   @Test
   void tenCrashesAroundAnOutage() throws MalformedException {
@@ -72,15 +76,16 @@
     cluster.clock.after(30_000, () -> cluster.state.outage(70_000));
     cancelEveryNth(cluster, 3, 1000);
     cluster.clock.runUntil(FAULTS_AT_MS + 120_000);
-    assertThat(crashesInOutage[0]).as("ends inside the outage").isBetween(5, 6);
+    assertThat(crashesInOutage[0]).as("crashes during the outage").isBetween(5, 6);
     long ended = cluster.checks.tasksLostToLease;
     runAndVerify(cluster);
     return ended;
   }
 
   /**
-   * The holder alone loses the state service. It does not stand in for its successor, which has to
-   * hear from the workers: days on which the busiest was cut off had services down for long.
+   * Only the owner loses the state service. It must not act as a proxy for its successor, which has
+   * to receive the workers' reports: otherwise services were down for long on days on which the
+   * busiest controller was cut off.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -95,7 +100,7 @@
     long takenOverAt = cluster.clock.now();
     cluster.clock.runUntil(FAULTS_AT_MS + 40_000);
     assertThat(cluster.cloud.machines.values())
-        .as("answered by the old one after the change of hands")
+        .as("answered by the old owner after the takeover")
         .noneMatch(
             worker ->
                 worker.renewedBy == cluster.nodeIndex(oldOwner)
@@ -104,9 +109,9 @@
   }
 
   /**
-   * Starts of the holder are held up on their way to machines that only it does not reach, their
-   * jobs are cancelled, the holder ends, and the sessions go on: none of them may be carried out
-   * after cancel_s.
+   * Starts ordered by the owner are delayed on their way to machines that only the owner cannot
+   * reach, their jobs are cancelled, the owner crashes, and the sessions continue: none of the
+   * starts may be executed after cancel_s.
    */
   @ParameterizedTest
   @ValueSource(longs = {2, 3, 4})
@@ -130,12 +135,12 @@
     cluster.clock.runUntil(FAULTS_AT_MS + 60_000);
     assertThat(cluster.checks.cancelConfirmedAt).hasSizeGreaterThan(20);
     assertThat(unreachable)
-        .as("sessions that went on")
+        .as("sessions that continued")
         .filteredOn(worker -> !worker.terminated && worker.session() == 1)
         .hasSizeGreaterThan(5);
     int before = cluster.net.commandsAfterTimeout;
     cluster.clock.runUntil(FAULTS_AT_MS + 64_000);
-    assertThat(cluster.net.commandsAfterTimeout - before).as("commands held up").isGreaterThan(3);
+    assertThat(cluster.net.commandsAfterTimeout - before).as("commands delayed").isGreaterThan(3);
     runAndVerify(cluster);
   }
 }
--- a/src/test/java/dunlincroft/sim/SmallJobCancellationTest.java
+++ b/src/test/java/dunlincroft/sim/SmallJobCancellationTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * One-task jobs come four a second for minutes, and a quarter of them is cancelled: at once, while
- * they wait, while they run, around their end.
+ * Guards against cancelled jobs that run and against lost jobs under a high rate of small jobs.
+ * One-task jobs are submitted four a second for minutes, and a quarter of them is cancelled: at
+ * once, while waiting, while running, or around their end.
  */
 class SmallJobCancellationTest {
   private static final int JOBS = 480;
@@ -25,10 +26,13 @@
   private static final long FIRST_SUBMIT_MS = 20_000;
   private static final long END_MS = 500_000;
 
-  /** An order, and the fetch of the image that it begins. */
+  /**
+   * Longest time an order that was already in flight may take, with the image download that it
+   * begins.
+   */
   private static final long ORDER_IN_FLIGHT_MS = 2500;
 
-  /** When in a job's life its user cancels it. */
+  /** Phase of a job in which its user cancels it. */
   private enum JobPhase {
     AT_ONCE,
     WAITING,
@@ -36,7 +40,7 @@
     AROUND_THE_END
   }
 
-  /** What troubles the cluster meanwhile. */
+  /** Faults injected while the jobs run. */
   private enum FaultScenario {
     NOTHING,
     OWNER_CHANGES,
@@ -95,7 +99,7 @@
     }
   }
 
-  /** Cancels, and notes in which moment of the job's life that was. */
+  /** Cancels a job, and counts the phase in which it really was. */
   private void cancelNow(SimCluster cluster, JobSpec spec) {
     JobPhase actualPhase = JobPhase.WAITING;
     if (cluster.checks.completedTasks.containsKey(spec.ref())) {
@@ -145,7 +149,7 @@
     return cluster;
   }
 
-  /** Plays until every user was told of the end, and a little longer. */
+  /** Plays until every user was told of the end, and 15 s longer. */
   private static void play(SimCluster cluster) {
     cluster.clock.runUntil(FIRST_SUBMIT_MS + JOBS * SUBMIT_INTERVAL_MS);
     while (cluster.checks.finalStates.size() < JOBS && cluster.clock.now() < END_MS) {
@@ -167,14 +171,16 @@
     assertFinalStates(cluster, cancelLog);
   }
 
-  /** The troubles met the jobs, and the cancellations each moment of their lives. */
+  /**
+   * Asserts that the faults occurred while jobs ran, and that jobs were cancelled in each phase.
+   */
   private void assertFaultsOverlappedJobs(
       SimCluster cluster, FaultScenario scenario, OwnershipChanges ownershipChanges) {
     assertThat(cancelsByPhase.getOrDefault(JobPhase.WAITING, 0)).isGreaterThan(30);
     assertThat(cancelsByPhase.getOrDefault(JobPhase.RUNNING, 0)).isGreaterThan(30);
     assertThat(cancelsByPhase.getOrDefault(JobPhase.AROUND_THE_END, 0)).isGreaterThan(5);
     if (scenario == FaultScenario.OWNER_CHANGES || scenario == FaultScenario.ALL) {
-      assertThat(ownershipChanges.changes).as("changes of hands").hasSizeGreaterThan(3);
+      assertThat(ownershipChanges.changes).as("ownership changes").hasSizeGreaterThan(3);
     }
     if (scenario == FaultScenario.LATE_WRITES || scenario == FaultScenario.ALL) {
       assertThat(cluster.net.executedAfterNewer)
@@ -184,7 +190,8 @@
   }
 
   /**
-   * Nothing is forgotten, nothing starts once its user was told, and who did not cancel is done.
+   * No job is lost, none starts after its user got the confirmation, and jobs that nobody cancelled
+   * are done.
    */
   private static void assertFinalStates(SimCluster cluster, CancellationLog cancelLog) {
     InvariantChecks checks = cluster.checks;
@@ -200,11 +207,15 @@
         });
     long withdrawn = checks.finalStates.values().stream().filter(Wire.CANCELLED::equals).count();
     assertThat(withdrawn).as("cancelled in time").isGreaterThan(90);
-    assertThat(withdrawn).as("told once, told for ever").isEqualTo(checks.cancelConfirmedAt.size());
+    assertThat(withdrawn)
+        .as("confirmations that were never withdrawn")
+        .isEqualTo(checks.cancelConfirmedAt.size());
     assertThat(checks.completedTasks.keySet()).containsAll(doneJobs(checks));
-    assertThat(cancelLog.startsAfterCancellation).as("recorded after the cancellation").isEmpty();
+    assertThat(cancelLog.startsAfterCancellation)
+        .as("starts recorded after the cancellation")
+        .isEmpty();
     assertThat(checks.startedAfterCancelMs)
-        .as("orders that were on their way")
+        .as("starts that were in flight")
         .hasSizeLessThan(4)
         .allMatch(ms -> ms < ORDER_IN_FLIGHT_MS);
   }
--- a/src/test/java/dunlincroft/sim/StaleReadsTest.java
+++ b/src/test/java/dunlincroft/sim/StaleReadsTest.java
@@ -14,13 +14,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Users ask at all nodes within milliseconds, and repeat the submission, right after a job was
- * accepted, ended or confirmed as cancelled; some cancel at once. No node answers anything older.
+ * Guards against stale answers. Users query all nodes within milliseconds, and repeat the
+ * submission, right after a job was accepted, ended, or was confirmed as cancelled; some cancel at
+ * once. No node may answer with an older state than the one already told.
  */
 class StaleReadsTest extends OverlappingFaultsScenario {
   private static final long DAY_END_MS = 420_000;
 
-  /** A busy day on which users look closely all the time. */
+  /** A busy day on which users send such queries all the time. */
   private SimCluster observedCluster(long seed) throws MalformedException {
     jobs.clear();
     SimCluster cluster = busyCluster(seed);
@@ -39,7 +40,8 @@
   })
   void noNodeAnswersOlderState(long seed, InjectedFault trouble) throws MalformedException {
     SimCluster cluster = observedCluster(seed);
-    // On every other day whoever lags must read everything again.
+    // On every other day the change history is short: a node that lags behind must read everything
+    // again.
     cluster.state.maxChanges = seed % 2 == 0 ? 60 : cluster.state.maxChanges;
     cluster.clock.runUntil(15_000);
     if (trouble != null) {
@@ -55,7 +57,10 @@
     runAndVerify(cluster, DAY_END_MS);
   }
 
-  /** The answer to a cancellation of a job that is partly done, which polls have told already. */
+  /**
+   * A cancellation of a partly finished job must not report fewer finished tasks than earlier polls
+   * did.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void cancellationAnswerCountsNoFewerDoneTasksThanPolls(long seed) throws MalformedException {
@@ -70,20 +75,21 @@
           cluster.requestBursts.cancel(cluster.randomNode(), spec);
         }
       }
-      // What is told of a job's tasks is asked for often: polls come each 5 s.
+      // Finished tasks become known to users by frequent queries: ordinary polls come only every 5
+      // s.
       jobs.stream()
           .filter(spec -> cluster.checks.accepted.contains(spec.ref()))
           .filter(
               spec -> spec.taskCount() > 1 && !cluster.checks.finalStates.containsKey(spec.ref()))
           .forEach(spec -> cluster.requestBursts.query(cluster.randomNode(), spec));
     }
-    assertThat(partlyDone).as("cancelled with some tasks told as done").hasSizeGreaterThan(8);
+    assertThat(partlyDone).as("cancelled after some tasks were told as done").hasSizeGreaterThan(8);
     runAndVerify(cluster, DAY_END_MS);
   }
 
   /**
-   * The same with read barriers that bring nothing: older answers are given and seen, so these days
-   * do ask nodes that lag.
+   * The same with read barriers that have no effect: stale answers are given and reported, which
+   * shows that these days do query nodes that lag behind.
    */
   @Test
   void withoutReadBarriersStaleAnswersAreReported() throws MalformedException {
@@ -100,8 +106,8 @@
   }
 
   /**
-   * A smaller count of done tasks is seen. Nodes whose barriers bring nothing tell of no
-   * cancellation, so the days above no longer show it.
+   * A decreasing count of finished tasks is reported. This is tested directly, because nodes whose
+   * read barriers have no effect answer no cancellation, so that the days above no longer show it.
    */
   @Test
   void smallerDoneCountIsReported() throws MalformedException {
--- a/src/test/java/dunlincroft/sim/StarvationCheckTest.java
+++ b/src/test/java/dunlincroft/sim/StarvationCheckTest.java
@@ -9,12 +9,15 @@
 import dunlincroft.sim.SimCluster.Size;
 import org.junit.jupiter.api.Test;
 
-/** The check of jobs left waiting beside room finds planted faults, and nothing else. */
+/**
+ * Verifies that the check for jobs left waiting while capacity is free reports planted faults, and
+ * nothing else.
+ */
 class StarvationCheckTest {
   private static final long FAULTS_OVER_MS = 20_000;
   private static final long END_MS = 200_000;
 
-  /** A long array of one zone, or (null) of any. */
+  /** A long-running array job bound to one zone, or to none if the zone is null. */
   private static JobSpec longArray(
       String ref, String team, int tasks, String zone, boolean samePlace)
       throws MalformedException {
@@ -51,7 +54,10 @@
         .anyMatch(what -> what.contains("left_waiting: " + ref));
   }
 
-  /** A window that ends keeps its jobs from starting; the check is not told of it. */
+  /**
+   * A calendar window that closes keeps its jobs from starting; the check is not told of the
+   * window.
+   */
   @Test
   void unplacedJobIsReported() throws MalformedException {
     SimCluster cluster = cluster(1);
@@ -79,7 +85,7 @@
     assertThat(isReportedWaiting(cluster, "run-free")).isFalse();
   }
 
-  /** Nobody is there to place anything: what had begun, and what had not. */
+  /** No controller is left to place anything, whether or not it had been started before. */
   @Test
   void jobsWithoutAnyControllerAreReported() throws MalformedException {
     SimCluster cluster = cluster(2);
@@ -90,7 +96,7 @@
     assertThat(isReportedWaiting(cluster, "run-any")).isTrue();
   }
 
-  /** A team at its limit waits for its own work. */
+  /** A team at its limit waits for its own work, which is not starvation. */
   @Test
   void jobOfATeamAtItsLimitIsNotReported() throws MalformedException {
     SimCluster cluster = cluster(3);
@@ -101,7 +107,9 @@
     assertThat(cluster.checks.violations).isEmpty();
   }
 
-  /** Room is elsewhere: in other zones than the job's own, or than that of its first tasks. */
+  /**
+   * Free capacity exists only in other zones than the job's own, or than that of its first tasks.
+   */
   @Test
   void freeCapacityInAnotherZoneIsNotCounted() throws MalformedException {
     SimCluster cluster = cluster(4);
@@ -116,7 +124,7 @@
     assertThat(cluster.checks.running("run-bound")).isBetween(1, 59);
     assertThat(cluster.checks.running("run-together")).isBetween(1, 59);
     assertThat(cluster.cloud.machines.values())
-        .as("room elsewhere")
+        .as("free capacity in other zones")
         .anyMatch(worker -> worker.freeCapacity().cpu() >= 2000);
     assertThat(cluster.checks.violations).isEmpty();
   }
--- a/src/test/java/dunlincroft/sim/StateRequestLimitTest.java
+++ b/src/test/java/dunlincroft/sim/StateRequestLimitTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The state service's requests are few, while it would take many more changes than come: watches
- * and the barriers of polls ask without end, and must leave requests for what changes something.
+ * Guards against reads that use up the request limit of the state service. Few requests are
+ * allowed, but many more changes than are made: watches and the read barriers of polls cause
+ * requests all the time, and must leave some for writes.
  */
 class StateRequestLimitTest extends OverlappingFaultsScenario {
   private static final double RPS = 20;
@@ -34,14 +35,14 @@
     return cluster;
   }
 
-  /** Nearly all requests were used. */
+  /** Asserts that nearly all allowed requests were used. */
   private static void assertRequestsScarce(SimCluster cluster, int before, int seconds) {
     assertThat(cluster.state.requestCount - before)
-        .as("requests were scarce")
+        .as("requests used")
         .isGreaterThan((int) (0.8 * RPS * seconds));
   }
 
-  /** Nearly all requests are used, and jobs are accepted as they come all the same. */
+  /** Nearly all allowed requests are used, and jobs are still accepted as they are submitted. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void jobsAreAcceptedThoughReadsCouldTakeAllRequests(long seed) throws MalformedException {
@@ -50,11 +51,11 @@
     int before = cluster.state.requestCount;
     cluster.clock.runUntil(50_000);
     assertRequestsScarce(cluster, before, 30);
-    assertThat(cluster.checks.accepted).as("accepted").hasSizeGreaterThan(JOBS - 8);
+    assertThat(cluster.checks.accepted).as("accepted jobs").hasSizeGreaterThan(JOBS - 8);
     runAndVerify(cluster);
   }
 
-  /** The holder crashes in it, and comes back. */
+  /** The owner crashes under this load, and restarts. */
   @ParameterizedTest
   @ValueSource(longs = {4, 5})
   void ownerCrashesWhileRequestsAreScarce(long seed) throws MalformedException {
@@ -68,7 +69,7 @@
     assertRequestsScarce(cluster, before, 15);
     assertThat(cluster.ownerName()).isNotEqualTo(oldOwner);
     cluster.clock.runUntil(70_000);
-    assertThat(cluster.checks.accepted).as("accepted").hasSizeGreaterThan(JOBS - 8);
+    assertThat(cluster.checks.accepted).as("accepted jobs").hasSizeGreaterThan(JOBS - 8);
     runAndVerify(cluster);
   }
 }
--- a/src/test/java/dunlincroft/sim/TakeoverTest.java
+++ b/src/test/java/dunlincroft/sim/TakeoverTest.java
@@ -16,14 +16,17 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Controllers that fail beside machines that fail: five of them, some sixty machines. */
+/**
+ * Guards against broken invariants when controllers and machines fail together, with five
+ * controllers and some sixty machines.
+ */
 class TakeoverTest {
   private static final long FAULT_MS = 30_000;
 
-  /** A process that ends may be started again within a fraction of a second. */
+  /** A crashed process may be restarted within a fraction of a second. */
   private static final long RESTART_MS = 200;
 
-  /** What happens at one moment; each day checks every rule and ends every job. */
+  /** A fault injected at one moment; each day checks every rule and that every job ends. */
   private enum Fault {
     LINKS_REFUSED_AS_THE_BUSIEST_CRASHES(
         cluster -> {
@@ -171,7 +174,7 @@
     assertInvariants(cluster);
   }
 
-  /** Several holders: each of the failed ones has shards, machines and jobs. */
+  /** Several owners: each of the failed controllers has shards, machines and jobs. */
   @ParameterizedTest
   @EnumSource(
       value = Fault.class,
@@ -179,9 +182,9 @@
         "TWO_FAIL_WITHIN_A_SECOND",
         "ONE_AFTER_THE_OTHER",
         "ZONE_CUT_WITH_ITS_CONTROLLERS",
-        "BUSIEST_ENDS_TEN_TIMES",
+        "BUSIEST_CRASHES_TEN_TIMES",
         "ALL_FIVE_TWICE_WITHIN_2S",
-        "SUCCESSORS_END_AND_ARE_BACK_AT_ONCE",
+        "SUCCESSORS_CRASH_AND_RESTART",
         "MACHINES_DIE_AS_THE_BUSIEST_DOES"
       })
   void invariantsHoldWithSeveralOwners(Fault fault) throws MalformedException {
@@ -189,8 +192,8 @@
   }
 
   /**
-   * Nor is a job left waiting beside room because its team's limit lies in pieces with several
-   * shards, or the room with another one.
+   * No job is left waiting while capacity is free because its team's limit is split among several
+   * shards, or because the capacity belongs to another shard.
    */
   @ParameterizedTest
   @EnumSource(
@@ -207,12 +210,12 @@
     return cluster;
   }
 
-  /** The successor stops or stands still in the middle of its takeover, at each of its steps. */
+  /** The successor crashes or is paused during its takeover, at each of its steps. */
   @ParameterizedTest
   @CsvSource({"0,false", "40,true", "150,false", "400,true", "1000,false", "2500,true"})
   void interruptedTakeoverIsTakenOver(long after, boolean pauses) throws MalformedException {
     SimCluster cluster = busy(13);
-    // There is always something that waits for room.
+    // There are always tasks waiting for capacity.
     JobSpec largeJob = InvariantsTest.batchJob("run-many", "blue", 3000, 1);
     cluster.clock.after(15_000, () -> cluster.submitAndFollow(largeJob, 0));
     cluster.clock.runUntil(FAULT_MS);
@@ -231,23 +234,24 @@
     } else {
       cluster.crash(node, 30_000);
     }
-    // An ended process is succeeded at once, however short a time ago the shard changed hands.
+    // A crashed process is replaced at once, however recently the shard changed owners.
     cluster.clock.runUntil(cluster.clock.now() + (pauses ? 6000 : 1500));
     assertThat(cluster.ownerName()).isNotIn(first, second);
     int before = cluster.checks.starts;
     cluster.clock.runUntil(cluster.clock.now() + 6000);
-    assertThat(cluster.checks.starts).as("the third starts work").isGreaterThan(before);
+    assertThat(cluster.checks.starts).as("starts by the third owner").isGreaterThan(before);
     cluster.clock.runUntil(600_000);
     assertInvariants(cluster);
   }
 
   /**
-   * A crash is told from a pause by refused connections; starts go on within a second and a half.
+   * Refused connections distinguish a crash from a pause; starts continue within a second and a
+   * half.
    */
   @Test
   void crashedOwnerIsReplacedAtOnceAndLosesNoMachine() throws MalformedException {
     SimCluster cluster = busy(14);
-    // There is always something that waits for room.
+    // There are always tasks waiting for capacity.
     JobSpec largeJob = InvariantsTest.batchJob("run-many", "blue", 4000, 1);
     cluster.clock.after(15_000, () -> cluster.submitAndFollow(largeJob, 0));
     cluster.clock.runUntil(FAULT_MS);
@@ -264,7 +268,8 @@
   }
 
   /**
-   * After a restart of all, what the dead lives held is taken up without waiting for their ends.
+   * After a restart of all controllers, the records of the previous incarnations are taken over
+   * without waiting for their sessions to expire.
    */
   @Test
   void leaderAndOwnerContinueAfterAFullRestart() throws MalformedException {
@@ -287,8 +292,9 @@
   }
 
   /**
-   * A restart of all is over in a second or two; the balancer would leave out for longer who is not
-   * ready meanwhile. One that restarts beside others leaves its users to them until it has read.
+   * A restart of all controllers is over in a second or two, but the load balancer would exclude
+   * controllers that are not ready for longer, so all report ready. A controller that restarts
+   * alone leaves its users to the others until it has read the state.
    */
   @Test
   void fullRestartLeavesEveryControllerReady() throws MalformedException {
@@ -310,7 +316,10 @@
     assertInvariants(cluster);
   }
 
-  /** Links that lose packets, and links that a filter refuses, are nobody's failure. */
+  /**
+   * Links that lose packets, and links refused by a packet filter, are not taken for a controller's
+   * failure.
+   */
   @ParameterizedTest
   @ValueSource(doubles = {0.05, 0.2, 1})
   void ownerWithBadLinksKeepsItsShard(double loss) throws MalformedException {
@@ -331,8 +340,8 @@
   }
 
   /**
-   * A zone is cut for twice as long as its workers' leases last: its services are started elsewhere
-   * in the second half of the lease, and a cut that is over sooner costs nothing.
+   * A zone is cut off for twice as long as its workers' leases last: its services are started
+   * elsewhere in the second half of the lease, and a shorter partition releases nothing.
    */
   @ParameterizedTest
   @CsvSource({"5500,false", "40000,true"})
@@ -342,7 +351,9 @@
     String zone = cluster.zoneWithoutOwner();
     cluster.cutZone(zone, ms);
     cluster.clock.runUntil(FAULT_MS + 5500);
-    assertThat(cluster.cloud.tasksLostToRelease).as("in the first half").isZero();
+    assertThat(cluster.cloud.tasksLostToRelease)
+        .as("tasks released in the first half of the lease")
+        .isZero();
     cluster.clock.runUntil(FAULT_MS + 17_500);
     assertThat(cluster.cloud.tasksLostToRelease > 0).isEqualTo(released);
     cluster.clock.runUntil(600_000);
@@ -350,8 +361,8 @@
   }
 
   /**
-   * The holder crashes while a zone is cut off. Its successor never heard the zone's machines: it
-   * must not begin to count their silence at its own takeover.
+   * The owner crashes while a zone is cut off. Its successor never received a report from the
+   * zone's machines, and must not start measuring their silence at its own takeover.
    */
   @ParameterizedTest
   @ValueSource(longs = {17, 18, 19, 20})
--- a/src/test/java/dunlincroft/sim/TeamLimitFailoverTest.java
+++ b/src/test/java/dunlincroft/sim/TeamLimitFailoverTest.java
@@ -18,16 +18,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Teams are at their limits as the leader changes, machines of theirs can't be asked or hang, and
- * jobs there are cancelled: the room of a task returns to its team only once it is known to be
- * gone, and cancelled tasks are gone in time.
+ * Guards against exceeded team limits during failover. Teams are at their limits as the leader
+ * changes, some of their machines are unreachable or hang, and jobs there are cancelled: the quota
+ * of a task returns to its team only once the task is known to have ended, and cancelled tasks end
+ * in time.
  */
 class TeamLimitFailoverTest extends OverlappingFaultsScenario {
   private static final double RED_LIMIT_CPUS = 24;
   private static final double BLUE_LIMIT_CPUS = 40;
   private static final double TASK_CPUS = 2;
 
-  /** What happens to the machines. */
+  /** Fault of the machines. */
   enum MachineFault {
     CUT_OFF((cluster, worker, ms) -> cluster.cutWorkerFromControllers(worker, ms)),
     HANGS((cluster, worker, ms) -> worker.hang(ms)),
@@ -44,7 +45,7 @@
     }
   }
 
-  /** A cluster whose teams have more work than their limits let run. */
+  /** A cluster whose teams have more work than their limits allow to run. */
   private SimCluster atLimits(long seed, boolean limitBoth) throws MalformedException {
     SimCluster cluster =
         new SimCluster(
@@ -74,7 +75,7 @@
             .count();
   }
 
-  /** Teams that have no room for another task under their limits. */
+  /** Teams without quota for another task. */
   private static Set<String> teamsAtLimit(SimCluster cluster) {
     Set<String> teamsAtLimit = new TreeSet<>();
     if (usedCpus(cluster, "red") > RED_LIMIT_CPUS - TASK_CPUS) {
@@ -86,16 +87,18 @@
     return teamsAtLimit;
   }
 
-  /** Plays until such teams are at their limits. */
+  /** Plays until these teams are at their limits. */
   private static void playUntilAtLimit(SimCluster cluster, Set<String> teams, long from) {
     cluster.clock.runUntil(from);
     while (!teamsAtLimit(cluster).containsAll(teams)) {
-      assertThat(cluster.clock.now()).as("at their limits").isLessThan(from + 60_000);
+      assertThat(cluster.clock.now())
+          .as("time until the teams are at their limits")
+          .isLessThan(from + 60_000);
       cluster.clock.runUntil(cluster.clock.now() + 100);
     }
   }
 
-  /** The machines with the most tasks of these teams. */
+  /** The machines with the most running tasks. */
   private static List<SimWorker> withMostTasks(SimCluster cluster, int count) {
     return cluster.cloud.machines.values().stream()
         .sorted(Comparator.comparingLong(worker -> -runningTasks(Stream.of(worker)).count()))
@@ -124,14 +127,21 @@
       samplesWithRemainingTasks += remaining > 0 && !cluster.ownerName().equals(oldOwner) ? 1 : 0;
       mostRemaining = Math.max(mostRemaining, remaining);
     }
-    assertThat(mostRemaining).as("cancelled tasks that were still there").isGreaterThan(2);
-    assertThat(samplesWithRemainingTasks).as("also after the change of leader").isGreaterThan(5);
+    assertThat(mostRemaining).as("cancelled tasks still running").isGreaterThan(2);
+    assertThat(samplesWithRemainingTasks)
+        .as("samples with such tasks after the leader change")
+        .isGreaterThan(5);
     runAndVerifyBy(cluster, 420_000);
   }
 
-  /** One team is at its limit; some machines can't be asked. */
+  /** One team is at its limit, and some machines are unreachable. */
   @ParameterizedTest
-  @CsvSource({"1,CUT,12000,300", "2,DEAF,25000,2500", "3,DEAF,30000,0", "4,CUT,35000,2000"})
+  @CsvSource({
+    "1,CUT_OFF,12000,300",
+    "2,INBOUND_LOST,25000,2500",
+    "3,INBOUND_LOST,30000,0",
+    "4,CUT_OFF,35000,2000"
+  })
   void limitHoldsForOneTeam(long seed, MachineFault fault, long ms, long cancelAfter)
       throws MalformedException {
     SimCluster cluster = atLimits(seed, false);
@@ -139,9 +149,9 @@
     cancelDuringFailover(cluster, Set.of("red"), fault, ms, cancelAfter);
   }
 
-  /** All teams are at their limits; machines of cancelled jobs are cut off or hang. */
+  /** All teams are at their limits, and machines of cancelled jobs are cut off or hang. */
   @ParameterizedTest
-  @CsvSource({"1,HANGS,15000,0", "2,CUT,42000,1500", "3,HANGS,30000,4000", "4,HANGS,43000,800"})
+  @CsvSource({"1,HANGS,15000,0", "2,CUT_OFF,42000,1500", "3,HANGS,30000,4000", "4,HANGS,43000,800"})
   void limitsHoldForAllTeams(long seed, MachineFault fault, long ms, long cancelAfter)
       throws MalformedException {
     SimCluster cluster = atLimits(seed, true);
--- a/src/test/java/dunlincroft/sim/ZoneLossPreemptionTest.java
+++ b/src/test/java/dunlincroft/sim/ZoneLossPreemptionTest.java
@@ -12,11 +12,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Room for services where lesser work has filled everything. */
+/**
+ * Guards against services that stay without capacity after the loss of a zone, when work of lower
+ * rank uses all other machines.
+ */
 class ZoneLossPreemptionTest {
   private static final long CUT_MS = 60_000;
 
-  /** On ordinary machines alone. */
+  /** A job that may not use preemptible machines. */
   private static JobSpec job(String ref, boolean service, int tasks, double cpus, double ramGb) {
     try {
       return JobSpec.parse(
@@ -47,7 +50,7 @@
     return cluster.cloud.machines.values().stream().filter(each -> each.zone.equals(zone)).toList();
   }
 
-  /** Replicas that do not run on other machines than these. */
+  /** Number of replicas that do not run on a machine outside the excluded ones. */
   private static int missingReplicas(
       SimCluster cluster, List<JobSpec> services, List<SimWorker> excluded) {
     return services.stream()
@@ -56,10 +59,11 @@
   }
 
   /**
-   * A zone is cut off, all other machines are full of lesser work, and no more are to be had. Each
-   * service that has lost a replica makes room for it, where it may still have one. They once all
-   * counted on the same room, so that it was made for one at a time; and those of two on room in
-   * the zone where they have one already.
+   * A zone is cut off, all other machines are full of work of lower rank, and no more can be
+   * rented. Every service that has lost a replica preempts such work in a zone that may still take
+   * the replica. Services once all counted on the same preempted capacity, so that it was freed for
+   * one service at a time; services of two replicas also counted on capacity in the zone where
+   * their other replica runs.
    */
   @Test
   void servicesOfALostZoneAllPreemptAtOnce() throws MalformedException {
@@ -77,10 +81,11 @@
     cluster.clock.after(3000, () -> cluster.submitAndFollow(idleJob, 380_000));
     cluster.clock.runUntil(CUT_MS);
     assertThat(cluster.cloud.machines).hasSizeGreaterThan(Size.FLEET.machines() - 5);
-    // A few are stopped by the limits of the moment; those that are whole are looked at.
+    // A few services are held back by limits at that moment; only those with all replicas running
+    // are considered.
     services.removeIf(spec -> cluster.checks.running(spec.ref()) < spec.taskCount());
     assertThat(services).hasSizeGreaterThan(20);
-    // The smaller one of those without the holder.
+    // The zone with fewer machines of the two without the owner.
     String zone =
         SimCluster.ZONES.stream()
             .filter(each -> !each.equals(cluster.ownerZone()))
