--- a/src/test/java/dunlincroft/sim/FaultCombinationsTest.java
+++ b/src/test/java/dunlincroft/sim/FaultCombinationsTest.java
@@ -283,7 +283,12 @@
    * leader's answers.
    */
   @ParameterizedTest
-  @CsvSource({"1,MACHINES_CUT_OFF", "2,MACHINES_DEAF", "3,MACHINES_CUT_OFF", "4,MACHINES_DEAF"})
+  @CsvSource({
+    "1,MACHINES_UNREACHABLE",
+    "2,MACHINES_WITHOUT_INBOUND",
+    "3,MACHINES_UNREACHABLE",
+    "4,MACHINES_WITHOUT_INBOUND"
+  })
   void leaderCrashesWhileMachinesAreUnreachable(long seed, InjectedFault trouble)
       throws MalformedException {
     SimCluster cluster = busyCluster(seed);
--- a/src/test/java/dunlincroft/sim/LostOwnershipResponsesTest.java
+++ b/src/test/java/dunlincroft/sim/LostOwnershipResponsesTest.java
@@ -18,14 +18,14 @@
 class LostOwnershipResponsesTest extends OverlappingFaultsScenario {
   @ParameterizedTest
   @CsvSource({
-    "HOLD,1,10",
-    "HOLD_RENEWED,2,80",
+    "SESSION_LEASE,1,10",
+    "SESSION_LEASE_RENEWED,2,80",
     "CONTROLLER,3,4",
     "LEADER,4,2",
     "LEADER,5,2",
     "SHARD,6,4",
     "LEASES,8,4",
-    "SHARES_MADE,9,1",
+    "SHARES_CREATED,9,1",
     "SHARE_MOVED,10,4",
     "BLOCK_MOVED,12,3",
     "NEW_BLOCK,14,10",
--- a/src/test/java/dunlincroft/sim/LostWriteResponsesTest.java
+++ b/src/test/java/dunlincroft/sim/LostWriteResponsesTest.java
@@ -100,7 +100,7 @@
     "LOG,7,30",
     "LOG,8,30",
     "PAGE,9,8",
-    "SWEEP,11,3",
+    "PAGE_REMOVAL,11,3",
     "FENCE,13,2"
   })
   void senderRecognizesItsOwnWrite(Kind kind, long seed, int least) throws MalformedException {
--- a/src/test/java/dunlincroft/sim/StaleReadsTest.java
+++ b/src/test/java/dunlincroft/sim/StaleReadsTest.java
@@ -34,9 +34,9 @@
     "1,",
     "2,STATE_SLOW",
     "3,LATE_WRITES",
-    "4,HOLDER_ENDS",
-    "5,HOLDER_STANDS_STILL",
-    "6,ALL_BACK_AT_ONCE"
+    "4,OWNER_CRASHES",
+    "5,OWNER_PAUSED",
+    "6,ALL_RESTART"
   })
   void noNodeAnswersOlderState(long seed, InjectedFault trouble) throws MalformedException {
     SimCluster cluster = observedCluster(seed);
