--- a/src/main/java/dunlincroft/coordination/Scheduler.java
+++ b/src/main/java/dunlincroft/coordination/Scheduler.java
@@ -470,7 +470,7 @@
       job.place(placement);
       machine.idleSinceMs = -1;
       placementLog.markDirty(job, task, true);
-      LOG.debug("{} try {} placed on host {}", placement.taskName(), attempt, machine.host);
+      LOG.debug("{} attempt {} placed on host {}", placement.taskName(), attempt, machine.host);
     }
     return fitting;
   }
--- a/src/main/java/dunlincroft/coordination/ShardLog.java
+++ b/src/main/java/dunlincroft/coordination/ShardLog.java
@@ -59,12 +59,12 @@
   private Slot currentSlot;
   private long lastEntryNumber;
 
-  ShardLog(ClusterState clusterState, String shard) {
+  ShardLog(ClusterState cluster, String shard) {
     this.shard = shard;
-    this.ownershipStamp = clusterState.ownedShards.getLong(shard);
-    this.lastEntryNumber = clusterState.jobIndex.lastEntryNumber(shard);
+    this.ownershipStamp = cluster.ownedShards.getLong(shard);
+    this.lastEntryNumber = cluster.jobIndex.lastEntryNumber(shard);
     this.lastSettledEntry = lastEntryNumber;
-    clusterState
+    cluster
         .replica
         .items(Replica.LOGS)
         .forEach(
--- a/src/test/java/dunlincroft/ci/KnownRed.java
+++ b/src/test/java/dunlincroft/ci/KnownRed.java
@@ -13,7 +13,7 @@
  * failure, and the issue.
  *
  * @param testCase class, method and, for a parameterised test, the invocation, as in {@code
- *     dunlincroft.sim.AliveTest#name(long, int)[4]}
+ *     dunlincroft.sim.FailureDetectionTest#name(long, int)[4]}
  * @param line the whole entry
  */
 record KnownRed(String testCase, String line) {
--- a/src/test/java/dunlincroft/coordination/ShardLogTest.java
+++ b/src/test/java/dunlincroft/coordination/ShardLogTest.java
@@ -30,9 +30,8 @@
 
   private static ShardLog log() {
     Replica replica = new Replica();
-    ClusterState clusterState =
-        new ClusterState(null, null, null, null, replica, new JobIndex(replica));
-    ShardLog log = new ShardLog(clusterState, "n0");
+    ClusterState cluster = new ClusterState(null, null, null, null, replica, new JobIndex(replica));
+    ShardLog log = new ShardLog(cluster, "n0");
     log.advanceSlot(Long.MAX_VALUE);
     return log;
   }
