--- a/src/main/java/dunlincroft/protocol/Cbor.java
+++ b/src/main/java/dunlincroft/protocol/Cbor.java
@@ -24,9 +24,9 @@
       if (node instanceof ObjectNode map) {
         return map;
       }
-      throw new MalformedException("the body is not a CBOR map");
+      throw new MalformedException("the body is not a map");
     } catch (IOException e) {
-      throw new MalformedException("the body is not valid CBOR");
+      throw new MalformedException("the body is not CBOR");
     }
   }
 
