--- a/src/main/java/dunlincroft/transport/PeerHeartbeat.java
+++ b/src/main/java/dunlincroft/transport/PeerHeartbeat.java
@@ -17,7 +17,7 @@
  * @param cancellations the cancellations that the sender has acknowledged to users
  * @param silentMachines machines of the sender's shards that have been silent for too long, so that
  *     the leader can rent replacements before they are released; at most {@code
- *     Constants.SILENT_MACHINES_TOLD}
+ *     Constants.MAX_SILENT_MACHINES_REPORTED}
  */
 public record PeerHeartbeat(
     String node,
